--- a/internal/aggregator/attempt_error.go
+++ b/internal/aggregator/attempt_error.go
@@ -80,9 +80,9 @@
 // Unwrap is the cause, which may be nil.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// StateSubject notes in err, if it is an AttemptError, to which server and for which part the attempt was. Backends
+// SetSubject notes in err, if it is an AttemptError, to which server and for which part the attempt was. Backends
 // call it at the end of an attempt, once for each error.
-func StateSubject(err error, server balance.Replica, part string) {
+func SetSubject(err error, server balance.Replica, part string) {
 	var failure *AttemptError
 	if errors.As(err, &failure) {
 		failure.Server = server
--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -314,6 +314,6 @@
 		delete(attempt.conn.streams, attempt.call.Name)
 	}
 	ended.Attempt = attempt.call.Attempt
-	aggregator.StateSubject(ended.Err, attempt.host.id, attempt.call.Name)
+	aggregator.SetSubject(ended.Err, attempt.host.id, attempt.call.Name)
 	p.emit(ended)
 }
--- a/internal/backend/serialconn/attempt.go
+++ b/internal/backend/serialconn/attempt.go
@@ -107,6 +107,6 @@
 		attempt.conn.attempt = nil
 	}
 	ended.Attempt = attempt.call.Attempt
-	aggregator.StateSubject(ended.Err, attempt.server.ID, attempt.call.Name)
+	aggregator.SetSubject(ended.Err, attempt.server.ID, attempt.call.Name)
 	p.emit(ended)
 }
