--- a/internal/aggregator/actions.go
+++ b/internal/aggregator/actions.go
@@ -10,7 +10,7 @@
 // pendingCall are attempts of this turn that one call carries to a server.
 type pendingCall struct {
 	server   balance.Replica
-	attempts []Call
+	attempts []OutgoingAttempt
 }
 
 // perform carries out the balancer's actions in order. What they bring about goes back to the balancer within the same
@@ -76,10 +76,10 @@
 }
 
 // call is an attempt as the backend gets it. It is made before the attempt counts among those that may have run.
-func (c *Core) call(attempt *attempt) Call {
+func (c *Core) call(attempt *attempt) OutgoingAttempt {
 	part := attempt.part
 	query := part.query
-	call := Call{
+	call := OutgoingAttempt{
 		Attempt:           attempt.id,
 		Name:              part.name,
 		Class:             query.request.Class,
@@ -113,7 +113,7 @@
 
 // addCall adds an attempt to the turn's calls. Attempts for one server share calls of at most Limits.MaxCallParts:
 // servers reject all parts of a longer one.
-func (c *Core) addCall(server balance.Replica, call Call) {
+func (c *Core) addCall(server balance.Replica, call OutgoingAttempt) {
 	for i := range c.calls {
 		pending := &c.calls[i]
 		if pending.server == server && len(pending.attempts) < c.limits.MaxCallParts {
@@ -121,7 +121,7 @@
 			return
 		}
 	}
-	c.calls = append(c.calls, pendingCall{server: server, attempts: []Call{call}})
+	c.calls = append(c.calls, pendingCall{server: server, attempts: []OutgoingAttempt{call}})
 }
 
 // sendCalls hands the calls of this turn to the backend.
--- a/internal/aggregator/benchmark_test.go
+++ b/internal/aggregator/benchmark_test.go
@@ -9,11 +9,13 @@
 )
 
 // silentBackend is a backend that nothing comes back from.
-type silentBackend struct{ sent []Call }
+type silentBackend struct{ sent []OutgoingAttempt }
 
-func (b *silentBackend) Send(_ time.Time, _ Server, calls []Call) { b.sent = append(b.sent, calls...) }
-func (b *silentBackend) Cancel(time.Time, AttemptID, bool)        {}
-func (b *silentBackend) Probe(time.Time, Server)                  {}
+func (b *silentBackend) Send(_ time.Time, _ Server, calls []OutgoingAttempt) {
+	b.sent = append(b.sent, calls...)
+}
+func (b *silentBackend) Cancel(time.Time, AttemptID, bool) {}
+func (b *silentBackend) Probe(time.Time, Server)           {}
 
 type silentFrontend struct{}
 
--- a/internal/aggregator/harness_test.go
+++ b/internal/aggregator/harness_test.go
@@ -30,9 +30,9 @@
 	t         *testing.T
 	core      *Core
 	now       time.Time
-	calls     []Call   // in flight, in the order of sending
-	callSizes []int    // parts of each call
-	servers   []Server // that the calls were sent to
+	calls     []OutgoingAttempt // in flight, in the order of sending
+	callSizes []int             // parts of each call
+	servers   []Server          // that the calls were sent to
 	canceled  []AttemptID
 	probes    []Server
 	answers   map[string][]FinalAnswer
@@ -51,7 +51,7 @@
 	}
 }
 
-func (h *harness) Send(_ time.Time, to Server, calls []Call) {
+func (h *harness) Send(_ time.Time, to Server, calls []OutgoingAttempt) {
 	h.callSizes = append(h.callSizes, len(calls))
 	for _, c := range calls {
 		h.calls = append(h.calls, c)
@@ -156,7 +156,7 @@
 }
 
 // takeCalls takes all calls out of those in flight.
-func (h *harness) takeCalls() []Call {
+func (h *harness) takeCalls() []OutgoingAttempt {
 	calls := h.calls
 	h.calls = nil
 	h.servers = nil
@@ -164,7 +164,7 @@
 }
 
 // takeCall takes the call at an index out of those in flight.
-func (h *harness) takeCall(index int) Call {
+func (h *harness) takeCall(index int) OutgoingAttempt {
 	call := h.calls[index]
 	h.calls = slices.Delete(h.calls, index, index+1)
 	h.servers = slices.Delete(h.servers, index, index+1)
--- a/internal/aggregator/ports.go
+++ b/internal/aggregator/ports.go
@@ -16,7 +16,7 @@
 // event, whatever happens. Its methods are called on the loop and must not block.
 type Backend interface {
 	// Send makes one call of these attempts. The backend owns the slice from then on.
-	Send(now time.Time, to Server, calls []Call)
+	Send(now time.Time, to Server, calls []OutgoingAttempt)
 	// Cancel gives an attempt up. Its AttemptEnded event comes only when the server has been notified, or the
 	// connection is closed, so that the part's next attempt cannot run beside it. mayRetry says that there may be a
 	// next one.
--- a/internal/aggregator/request.go
+++ b/internal/aggregator/request.go
@@ -77,8 +77,8 @@
 	Number int
 }
 
-// Call is one attempt of a part as the backend sends it.
-type Call struct {
+// OutgoingAttempt is one attempt of a part as the backend sends it.
+type OutgoingAttempt struct {
 	Attempt  AttemptID
 	Name     string // of the part, on the wire
 	Class    int
@@ -99,7 +99,7 @@
 }
 
 // Expired reports whether it is too late for a call that is not written yet.
-func (call Call) Expired(now time.Time) bool {
+func (call OutgoingAttempt) Expired(now time.Time) bool {
 	missedWindow := !call.WriteBy.IsZero() && !now.Before(call.WriteBy)
 	return !now.Before(call.Deadline) || missedWindow
 }
--- a/internal/aggregator/resharding_fuzz_test.go
+++ b/internal/aggregator/resharding_fuzz_test.go
@@ -48,7 +48,7 @@
 }
 
 // requestID is the id of the request that a call is for.
-func requestID(c Call) string {
+func requestID(c OutgoingAttempt) string {
 	id, _, _ := strings.Cut(c.Name, ".")
 	return id
 }
@@ -85,7 +85,7 @@
 	z.turn(AttemptEnded{Attempt: c.Attempt, Err: z.randomEnd(c), Value: fmt.Sprint(c.Shard)})
 }
 
-func (z *reshardingFuzz) randomEnd(c Call) error {
+func (z *reshardingFuzz) randomEnd(c OutgoingAttempt) error {
 	switch roll := z.rng.IntN(8); {
 	case slices.Contains(z.canceled, c.Attempt):
 		z.mayHaveRun[requestID(c)] = true
--- a/internal/aggregator/resharding_test.go
+++ b/internal/aggregator/resharding_test.go
@@ -94,7 +94,7 @@
 		}
 		h.requestShards("next", 0, "")
 		for _, c := range slices.Clone(h.calls) {
-			i := slices.IndexFunc(h.calls, func(o Call) bool { return o.Attempt == c.Attempt })
+			i := slices.IndexFunc(h.calls, func(o OutgoingAttempt) bool { return o.Attempt == c.Attempt })
 			if c.Shard == 2 && !served {
 				s := string(h.servers[i].ID)
 				h.endAt(s, 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
--- a/internal/aggregator/same_turn_test.go
+++ b/internal/aggregator/same_turn_test.go
@@ -52,7 +52,7 @@
 		DeadlineMargin: 20 * time.Millisecond,
 	}, startTime)
 	h.turn(twoServers)
-	next := func() Call { // the next call that is sent
+	next := func() OutgoingAttempt { // the next call that is sent
 		t.Helper()
 		for i := 0; len(h.calls) == 0; i++ {
 			if i > 1000 {
--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -32,7 +32,7 @@
 
 // attempt is one attempt at a part, from Send until its end was emitted.
 type attempt struct {
-	call      aggregator.Call
+	call      aggregator.OutgoingAttempt
 	host      *host
 	conn      *conn // nil while it is queued
 	state     attemptState
@@ -132,7 +132,7 @@
 
 // write hands a batch to a connection's transport.
 func (p *Pool) write(now time.Time, conn *conn, batch *batch) {
-	calls := make([]aggregator.Call, len(batch.attempts))
+	calls := make([]aggregator.OutgoingAttempt, len(batch.attempts))
 	within := maxWriteDelay
 	for i, attempt := range batch.attempts {
 		calls[i] = attempt.call
--- a/internal/backend/leaf/frame.go
+++ b/internal/backend/leaf/frame.go
@@ -134,7 +134,7 @@
 
 // sendableFrame returns the frame of one call as it is at now; nil if any of its attempts must not begin any more. Those of
 // the others are sent again by whoever decides.
-func sendableFrame(now time.Time, calls []aggregator.Call) []byte {
+func sendableFrame(now time.Time, calls []aggregator.OutgoingAttempt) []byte {
 	for _, call := range calls {
 		if call.Expired(now) || call.Abandoned != nil && call.Abandoned(now) {
 			return nil
@@ -144,7 +144,7 @@
 }
 
 // callSize is about the length of a call's frame.
-func callSize(calls []aggregator.Call) int {
+func callSize(calls []aggregator.OutgoingAttempt) int {
 	const optionsSize = 32
 	size := 0
 	for _, call := range calls {
@@ -154,7 +154,7 @@
 }
 
 // callFrame returns the frame of one call.
-func callFrame(now time.Time, calls []aggregator.Call) []byte {
+func callFrame(now time.Time, calls []aggregator.OutgoingAttempt) []byte {
 	var payload []byte
 	for _, c := range calls {
 		payload = fmt.Appendf(payload, "%s %d %s %d\n", c.Name, c.Shard, callOptions(now, c), len(c.Payload))
@@ -165,7 +165,7 @@
 
 // callOptions returns the list of a part's options: the time left in milliseconds, at least 1, and, for a follow-up, the
 // shards that answered the first step and whether those were all.
-func callOptions(now time.Time, c aggregator.Call) string {
+func callOptions(now time.Time, c aggregator.OutgoingAttempt) string {
 	options := fmt.Sprintf("d=%d", max(1, c.Deadline.Sub(now).Milliseconds()))
 	if !c.FollowUp {
 		return options
--- a/internal/backend/leaf/frame_test.go
+++ b/internal/backend/leaf/frame_test.go
@@ -106,22 +106,22 @@
 // frame, and none of the parts that share it goes out.
 func TestSendableFrame(t *testing.T) {
 	deadline := testStart.Add(time.Second)
-	good := aggregator.Call{Name: "q.1", Shard: 1, Deadline: deadline, Payload: "x"}
+	good := aggregator.OutgoingAttempt{Name: "q.1", Shard: 1, Deadline: deadline, Payload: "x"}
 	abandoned := good
 	abandoned.Abandoned = func(time.Time) bool { return true }
 	outsideWindow := good
 	outsideWindow.WriteBy = testStart
 	for name, test := range map[string]struct {
 		now   time.Time
-		calls []aggregator.Call
+		calls []aggregator.OutgoingAttempt
 		want  string // in the frame; empty: there is none
 	}{
-		"at once":           {testStart, []aggregator.Call{good}, " d=1000 "},
-		"held up":           {testStart.Add(150 * time.Millisecond), []aggregator.Call{good}, " d=850 "},
-		"at the deadline":   {deadline, []aggregator.Call{good}, ""},
-		"abandoned":         {testStart, []aggregator.Call{abandoned}, ""},
-		"with an abandoned": {testStart, []aggregator.Call{good, abandoned}, ""},
-		"outside a window":  {testStart, []aggregator.Call{outsideWindow}, ""},
+		"at once":           {testStart, []aggregator.OutgoingAttempt{good}, " d=1000 "},
+		"held up":           {testStart.Add(150 * time.Millisecond), []aggregator.OutgoingAttempt{good}, " d=850 "},
+		"at the deadline":   {deadline, []aggregator.OutgoingAttempt{good}, ""},
+		"abandoned":         {testStart, []aggregator.OutgoingAttempt{abandoned}, ""},
+		"with an abandoned": {testStart, []aggregator.OutgoingAttempt{good, abandoned}, ""},
+		"outside a window":  {testStart, []aggregator.OutgoingAttempt{outsideWindow}, ""},
 	} {
 		frame := string(sendableFrame(test.now, test.calls))
 		if (frame == "") != (test.want == "") || !strings.Contains(frame, test.want) {
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -68,7 +68,7 @@
 func (b *loopback) send(by time.Time) aggregator.AttemptID {
 	b.sentCount++
 	id := aggregator.AttemptID{Part: balance.ID(b.sentCount)}
-	b.pool.Send(b.now, b.Server("s"), []aggregator.Call{{
+	b.pool.Send(b.now, b.Server("s"), []aggregator.OutgoingAttempt{{
 		Attempt: id, Name: fmt.Sprintf("q.%d", b.sentCount), Shard: b.sentCount, Deadline: b.now.Add(5 * time.Second),
 		WriteBy: by, Payload: "text",
 	}})
--- a/internal/backend/leaf/pool.go
+++ b/internal/backend/leaf/pool.go
@@ -139,7 +139,7 @@
 func (p *Pool) SetDirectory(d Directory) { p.directory = d }
 
 // Send sends these attempts to a server in one call; in several, if they are more than one connection takes.
-func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.Call) {
+func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.OutgoingAttempt) {
 	h := p.host(to.ID)
 	b := &batch{host: h, addr: to.Addr, serverStarted: to.Started}
 	for _, call := range calls {
--- a/internal/backend/leaf/pool_test.go
+++ b/internal/backend/leaf/pool_test.go
@@ -138,12 +138,12 @@
 	h.cancel(first, false)
 	transport.settle(tcp.WriteComplete)
 	h.runTurn()
-	retry := aggregator.Call{
+	retry := aggregator.OutgoingAttempt{
 		Attempt:  aggregator.AttemptID{Part: 0, Number: 1},
 		Name:     first.name,
 		Deadline: h.now.Add(time.Second),
 	}
-	h.pool.Send(h.now, h.server(), []aggregator.Call{retry})
+	h.pool.Send(h.now, h.server(), []aggregator.OutgoingAttempt{retry})
 	h.runTurn()
 	if len(h.dials) != 1 || len(transport.writes) != 0 {
 		t.Error("the part's next attempt went out on the connection of the one that was canceled")
--- a/internal/backend/serialconn/attempt.go
+++ b/internal/backend/serialconn/attempt.go
@@ -12,7 +12,7 @@
 
 // attempt is one attempt at a part, from Send until its end was emitted.
 type attempt struct {
-	call      aggregator.Call
+	call      aggregator.OutgoingAttempt
 	server    aggregator.Server
 	conn      *conn
 	progress  aggregator.Progress // as far as is known
--- a/internal/backend/serialconn/codec.go
+++ b/internal/backend/serialconn/codec.go
@@ -14,7 +14,7 @@
 	// set.
 	Greeting() []byte
 	// Request returns the bytes of one attempt. An error says that the work cannot be expressed in the protocol.
-	Request(call aggregator.Call, work query.Work) ([]byte, error)
+	Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error)
 	// Parser returns a parser for one connection.
 	Parser() Parser
 }
--- a/internal/backend/serialconn/harness_test.go
+++ b/internal/backend/serialconn/harness_test.go
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (nameCodec) Request(call aggregator.Call, _ query.Work) ([]byte, error) {
+func (nameCodec) Request(call aggregator.OutgoingAttempt, _ query.Work) ([]byte, error) {
 	return []byte(call.Name), nil
 }
 
@@ -141,7 +141,7 @@
 	n := len(h.sent)
 	a := &attemptModel{id: aggregator.AttemptID{Part: balance.ID(n)}, name: fmt.Sprintf("q.%d", n)}
 	h.sent = append(h.sent, a)
-	h.pool.Send(h.now, aggregator.Server{ID: "s", Addr: "x"}, []aggregator.Call{{
+	h.pool.Send(h.now, aggregator.Server{ID: "s", Addr: "x"}, []aggregator.OutgoingAttempt{{
 		Attempt: a.id, Name: a.name, Payload: "{}", Deadline: h.now.Add(5 * time.Second),
 	}})
 	h.runTurn()
--- a/internal/backend/serialconn/pool.go
+++ b/internal/backend/serialconn/pool.go
@@ -89,7 +89,7 @@
 func (p *Pool) SetDirectory(d aggregator.Directory) { p.directory = d }
 
 // Send starts each attempt on a connection of its own.
-func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.Call) {
+func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.OutgoingAttempt) {
 	for _, call := range calls {
 		a := &attempt{call: call, server: to}
 		p.attempts[call.Attempt] = a
--- a/internal/backend/sru/client.go
+++ b/internal/backend/sru/client.go
@@ -38,7 +38,7 @@
 func (c *Client) Greeting() []byte { return nil }
 
 // Request returns the request of an attempt: a search or, if the work has an action, an update.
-func (c *Client) Request(call aggregator.Call, work query.Work) ([]byte, error) {
+func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
 	database := c.Database(call.Shard, call.Epoch)
 	if work.Action == "" {
 		return http1.Request("GET", sru.SearchTarget(database, work.CQL, 1, work.MaxRecords), c.Host, nil), nil
--- a/internal/backend/z3950/client.go
+++ b/internal/backend/z3950/client.go
@@ -73,7 +73,7 @@
 
 // Request returns the request of an attempt: a search, which asks for its records along with the count, or, if the work has
 // an action, an update. An error says that the query cannot be expressed.
-func (c *Client) Request(call aggregator.Call, work query.Work) ([]byte, error) {
+func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
 	database := c.Database(call.Shard, call.Epoch)
 	if work.Action != "" {
 		return z3950.Update(call.Name, database, work.Action, work.Record).Encode(nil), nil
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -29,7 +29,7 @@
 )
 
 // Send carries attempts to a replica.
-func (h *aggregatorHost) Send(_ time.Time, server aggregator.Server, calls []aggregator.Call) {
+func (h *aggregatorHost) Send(_ time.Time, server aggregator.Server, calls []aggregator.OutgoingAttempt) {
 	target := h.world.replicaByID[server.ID]
 	for _, call := range calls {
 		a := &attempt{host: h, call: call, replica: target}
--- a/internal/testbed/sim/replica.go
+++ b/internal/testbed/sim/replica.go
@@ -149,7 +149,7 @@
 // attempt is one attempt of a part at a replica.
 type attempt struct {
 	host      *aggregatorHost
-	call      aggregator.Call
+	call      aggregator.OutgoingAttempt
 	replica   *replica
 	abandoned bool // the aggregator has canceled it or has crashed
 }
