--- a/internal/backend/serialconn/attempt.go
+++ b/internal/backend/serialconn/attempt.go
@@ -12,7 +12,7 @@
 
 // attempt is one attempt at a part, from Send until its end was emitted.
 type attempt struct {
-	call      aggregator.Call
+	call      aggregator.OutgoingAttempt
 	server    aggregator.Server
 	conn      *conn
 	progress  aggregator.Progress // as far as is known
@@ -107,6 +107,6 @@
 		attempt.conn.attempt = nil
 	}
 	ended.Attempt = attempt.call.Attempt
-	aggregator.StateSubject(ended.Err, attempt.server.ID, attempt.call.Name)
+	aggregator.SetSubject(ended.Err, attempt.server.ID, attempt.call.Name)
 	p.emit(ended)
 }
