--- a/balance/admission.go
+++ b/balance/admission.go
@@ -37,7 +37,7 @@
 	if delay, measured := b.fleet.ObservedQueueDelay(b.now); measured {
 		return b.fleet.SlowestWithQueue(deviations, delay) <= limit
 	}
-	slowest := b.fleet.Slowest(deviations)
+	slowest := b.fleet.SlowestResponseTime(deviations)
 	if slowest <= micros(query.class.Objective)*minObservedLatency {
 		return true
 	}
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -113,6 +113,6 @@
 	if q.step > 0 || q.class.FollowUpParts == 0 {
 		return q.objective
 	}
-	second := b.fleet.Slowest(estimate.TailDeviations(q.class.FollowUpParts, 0))
+	second := b.fleet.SlowestResponseTime(estimate.TailDeviations(q.class.FollowUpParts, 0))
 	return q.objective - duration(min(second, maxFollowUpReserve*micros(q.class.Objective)))
 }
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -151,8 +151,10 @@
 	return estimate.Microseconds(f.Options.Objective) * estimate.InitialMean
 }
 
-// Slowest is the response time of the slowest of several parts, so many deviations beyond the mean.
-func (f *Fleet) Slowest(deviations float64) float64 { return f.Mean + deviations*f.Deviation }
+// SlowestResponseTime is the response time of the slowest of several parts, so many deviations beyond the mean.
+func (f *Fleet) SlowestResponseTime(deviations float64) float64 {
+	return f.Mean + deviations*f.Deviation
+}
 
 // SlowestWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
 // while they are as fresh as the queues reported; a few stuck parts say nothing of the others.
