--- a/balance/admission.go
+++ b/balance/admission.go
@@ -35,7 +35,7 @@
 	// Reject only if both say so: recent response times, which lag, and the number in flight, high in a lull.
 	deviations := estimate.TailDeviations(len(query.parts), 1-(least+needed)/2)
 	if delay, measured := b.fleet.ObservedQueueDelay(b.now); measured {
-		return b.fleet.SlowestWithQueue(deviations, delay) <= limit
+		return b.fleet.SlowestResponseTimeWithQueue(deviations, delay) <= limit
 	}
 	slowest := b.fleet.SlowestResponseTime(deviations)
 	if slowest <= micros(query.class.Objective)*minObservedLatency {
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -156,9 +156,9 @@
 	return f.Mean + deviations*f.Deviation
 }
 
-// SlowestWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
+// SlowestResponseTimeWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
 // while they are as fresh as the queues reported; a few stuck parts say nothing of the others.
-func (f *Fleet) SlowestWithQueue(deviations, delay float64) float64 {
+func (f *Fleet) SlowestResponseTimeWithQueue(deviations, delay float64) float64 {
 	mean := f.Mean
 	if len(f.RecentAnswers) < minReports {
 		mean = min(mean, f.InitialMean())
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -114,7 +114,7 @@
 	if !measured || delay != f.DrainTime(8) {
 		t.Errorf("delay %v, %v, want %v", delay, measured, f.DrainTime(8))
 	}
-	if f.SlowestWithQueue(0, delay) != f.SlowestResponseTime(0)+delay {
+	if f.SlowestResponseTimeWithQueue(0, delay) != f.SlowestResponseTime(0)+delay {
 		t.Error("the delay is not added to the slowest part's time")
 	}
 	if !f.IsLongQueue(8) || f.IsLongQueue(1) {
