--- a/balance/admission.go
+++ b/balance/admission.go
@@ -41,7 +41,7 @@
 	if slowest <= micros(query.class.Objective)*minObservedLatency {
 		return true
 	}
-	expected, measured := b.fleet.Expected(b.now, query.Class, len(query.parts), slowest)
+	expected, measured := b.fleet.ExpectedResponseTime(b.now, query.Class, len(query.parts), slowest)
 	if expected > limit && !measured {
 		b.fleet.ForgetExcess() // a rejection brings no answers, so each forgets some of what made it
 	}
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -168,13 +168,13 @@
 	return mean + deviations*min(f.Deviation, mean*estimate.InitialDeviation) + delay
 }
 
-// Expected is how long a new request of a class may take by Little's law: the requests in flight at healthy
+// ExpectedResponseTime is how long a new request of a class may take by Little's law: the requests in flight at healthy
 // servers, divided by the rate at which these answer. What is in flight falls as soon as less is sent, so
 // rejections do not cause further rejections. The number in flight is the median of fresh load reports, as a few
 // servers may hold most of the requests, with what was sent since; or own requests, where clients are few. Where
 // neither is known measured is false, and the result is slowest, the recent response time of the slowest part.
 // Each healthy server is taken to be worth at least one core.
-func (f *Fleet) Expected(now time.Duration, class, parts int, slowest float64) (took float64, measured bool) {
+func (f *Fleet) ExpectedResponseTime(now time.Duration, class, parts int, slowest float64) (took float64, measured bool) {
 	instances := float64(f.Options.Instances)
 	own := 0.0
 	capacity := 0.0
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -77,23 +77,23 @@
 func TestFleet_Expected(t *testing.T) {
 	now := time.Hour
 	few := newFleet(2, 2)
-	if _, measured := few.Expected(now, 0, 1, 1e6); !measured {
+	if _, measured := few.ExpectedResponseTime(now, 0, 1, 1e6); !measured {
 		t.Error("own requests of few clients do not stand for all")
 	}
 	many := newFleet(80, 2)
-	if took, measured := many.Expected(now, 0, 1, 1e6); measured || took != 1e6 {
+	if took, measured := many.ExpectedResponseTime(now, 0, 1, 1e6); measured || took != 1e6 {
 		t.Errorf("%v, %v: one of many without load reports must go by recent responses", took, measured)
 	}
 	many.Servers[0].RecordLoad(now-time.Second, 3, 6)
 	many.Servers[0].RecordSend(0, now)
-	idle, _ := many.Expected(now, 0, 1, 1e6)
+	idle, _ := many.ExpectedResponseTime(now, 0, 1, 1e6)
 	many.Servers[0].RecordLoad(now-time.Second, 30, 60)
-	busy, measured := many.Expected(now, 0, 1, 1e6)
+	busy, measured := many.ExpectedResponseTime(now, 0, 1, 1e6)
 	if !measured || busy <= idle {
 		t.Errorf("%v with 61 in flight, %v with 7", busy, idle)
 	}
 	many.Servers[0].RecordLoad(now-10*time.Second, 30, 60)
-	if _, measured := many.Expected(now, 0, 1, 1e6); measured {
+	if _, measured := many.ExpectedResponseTime(now, 0, 1, 1e6); measured {
 		t.Error("an old load report counts")
 	}
 }
@@ -201,13 +201,13 @@
 			f := newFleet(80, 2)
 			f.Servers[0].RecordLoad(now, 3, 6)
 			test.change(f.Servers[0])
-			if _, measured := f.Expected(now, 0, 1, 1e6); measured != test.want {
+			if _, measured := f.ExpectedResponseTime(now, 0, 1, 1e6); measured != test.want {
 				t.Errorf("measured %v, want %v", measured, test.want)
 			}
 		})
 	}
 	early := newFleet(80, 1) // the clock begins at 0, and no report came
-	if _, measured := early.Expected(time.Second, 0, 1, 1e6); measured {
+	if _, measured := early.ExpectedResponseTime(time.Second, 0, 1, 1e6); measured {
 		t.Error("a server that never reported counts as idle")
 	}
 }
