--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -151,12 +151,14 @@
 	return estimate.Microseconds(f.Options.Objective) * estimate.InitialMean
 }
 
-// Slowest is the response time of the slowest of several parts, so many deviations beyond the mean.
-func (f *Fleet) Slowest(deviations float64) float64 { return f.Mean + deviations*f.Deviation }
+// SlowestResponseTime is the response time of the slowest of several parts, so many deviations beyond the mean.
+func (f *Fleet) SlowestResponseTime(deviations float64) float64 {
+	return f.Mean + deviations*f.Deviation
+}
 
-// SlowestWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
+// SlowestResponseTimeWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
 // while they are as fresh as the queues reported; a few stuck parts say nothing of the others.
-func (f *Fleet) SlowestWithQueue(deviations, delay float64) float64 {
+func (f *Fleet) SlowestResponseTimeWithQueue(deviations, delay float64) float64 {
 	mean := f.Mean
 	if len(f.RecentAnswers) < minReports {
 		mean = min(mean, f.InitialMean())
@@ -166,13 +168,13 @@
 	return mean + deviations*min(f.Deviation, mean*estimate.InitialDeviation) + delay
 }
 
-// Expected is how long a new request of a class may take by Little's law: the requests in flight at healthy
+// ExpectedResponseTime is how long a new request of a class may take by Little's law: the requests in flight at healthy
 // servers, divided by the rate at which these answer. What is in flight falls as soon as less is sent, so
 // rejections do not cause further rejections. The number in flight is the median of fresh load reports, as a few
 // servers may hold most of the requests, with what was sent since; or own requests, where clients are few. Where
 // neither is known measured is false, and the result is slowest, the recent response time of the slowest part.
 // Each healthy server is taken to be worth at least one core.
-func (f *Fleet) Expected(now time.Duration, class, parts int, slowest float64) (took float64, measured bool) {
+func (f *Fleet) ExpectedResponseTime(now time.Duration, class, parts int, slowest float64) (took float64, measured bool) {
 	instances := float64(f.Options.Instances)
 	own := 0.0
 	capacity := 0.0
