--- a/internal/frontend/grpchealth/server.go
+++ b/internal/frontend/grpchealth/server.go
@@ -33,9 +33,9 @@
 type Server struct {
 	healthpb.UnimplementedHealthServer
 
-	Aggregator string        // address of the aggregator's health listener
-	Every      time.Duration // pause between two polls
-	Now        func() time.Time
+	Aggregator   string        // address of the aggregator's health listener
+	PollInterval time.Duration // pause between two polls
+	Now          func() time.Time
 
 	mu         sync.Mutex
 	statuses   map[string]ServingStatus // by service in lower case; replaced, not changed
@@ -47,11 +47,11 @@
 // NewServer returns a server that knows no service until Run has polled the aggregator.
 func NewServer(aggregator string, every time.Duration) *Server {
 	return &Server{
-		Aggregator: aggregator,
-		Every:      every,
-		Now:        time.Now,
-		statuses:   map[string]ServingStatus{},
-		changed:    make(chan struct{}),
+		Aggregator:   aggregator,
+		PollInterval: every,
+		Now:          time.Now,
+		statuses:     map[string]ServingStatus{},
+		changed:      make(chan struct{}),
 	}
 }
 
@@ -64,7 +64,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(s.Every):
+		case <-time.After(s.PollInterval):
 		}
 	}
 }
