--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -111,9 +111,9 @@
 		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 6}, changes: false, committed: 16},
 		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: true, committed: 4},
 	} {
-		if changes := table.Apply(step.entry); changes != step.changes || table.Committed(0) != step.committed {
+		if changes := table.Apply(step.entry); changes != step.changes || table.Outstanding(0) != step.committed {
 			t.Errorf("entry %d: changes %v, %d committed; want %v, %d",
-				i, changes, table.Committed(0), step.changes, step.committed)
+				i, changes, table.Outstanding(0), step.changes, step.committed)
 		}
 	}
 	if ids := table.Holders(); len(ids) != 1 || ids[0] != a {
--- a/internal/control/quota/table.go
+++ b/internal/control/quota/table.go
@@ -48,8 +48,8 @@
 	return &Table{rules: rules, committed: make([]int, len(rules.Budgets))}
 }
 
-// Committed returns the units of a budget, given by its index, that holders may be spending by leases.
-func (t *Table) Committed(budget int) int { return t.committed[budget] }
+// Outstanding returns the units of a budget, given by its index, that holders may be spending by leases.
+func (t *Table) Outstanding(budget int) int { return t.committed[budget] }
 
 // Holders returns the holders in the order of their ids.
 func (t *Table) Holders() (ids []HolderID) {
