--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -64,9 +64,9 @@
 	state.confirmedEpoch = max(state.confirmedEpoch, request.ConfirmedEpoch)
 }
 
-// BeginConfirmation starts a round in which the caller confirms with a quorum that this process is still the
+// BeginLeadershipCheck starts a round in which the caller confirms with a quorum that this process is still the
 // leader, and returns the round's number.
-func (a *Allocator) BeginConfirmation() uint64 {
+func (a *Allocator) BeginLeadershipCheck() uint64 {
 	a.nextRound++
 	return a.nextRound - 1
 }
--- a/internal/control/quota/fleet_test.go
+++ b/internal/control/quota/fleet_test.go
@@ -311,7 +311,7 @@
 			f.log = append(f.log, e)
 		}
 	}
-	round := d.allocator.BeginConfirmation()
+	round := d.allocator.BeginLeadershipCheck()
 	if i != f.leader && f.plantedBug != leadershipUnconfirmed {
 		return
 	}
