--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -71,11 +71,11 @@
 	return a.nextRound - 1
 }
 
-// Confirm says that a quorum took this process for the leader after the round had begun, and returns the grants for
+// LeadershipConfirmed says that a quorum took this process for the leader after the round had begun, and returns the grants for
 // requests that arrived before it. This protects the budgets from a leader that was replaced without noticing, for
 // example because its process was paused: its successor counts all leases from its election on, so no grant of the
 // replaced one may answer a later request.
-func (a *Allocator) Confirm(now time.Duration, round uint64) (grants []Grant) {
+func (a *Allocator) LeadershipConfirmed(now time.Duration, round uint64) (grants []Grant) {
 	if a.table.term != a.term {
 		return nil // the entry of its term is not committed yet
 	}
--- a/internal/control/quota/fleet_test.go
+++ b/internal/control/quota/fleet_test.go
@@ -324,7 +324,7 @@
 	if d.allocator == nil || f.now < d.pausedUntil {
 		return
 	}
-	for _, grant := range d.allocator.Confirm(d.read(f.now), round) {
+	for _, grant := range d.allocator.LeadershipConfirmed(d.read(f.now), round) {
 		for _, p := range f.holders {
 			f.send(func() {
 				if !p.dead && f.now >= p.pausedUntil && f.reachable(p, d) {
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -278,7 +278,7 @@
 	for _, entry := range f.allocator.Propose(now) {
 		f.table.Apply(entry)
 	}
-	for _, grant := range f.allocator.Confirm(now, f.allocator.BeginLeadershipCheck()) {
+	for _, grant := range f.allocator.LeadershipConfirmed(now, f.allocator.BeginLeadershipCheck()) {
 		i := slices.IndexFunc(f.holders, func(h *LeaseHolder) bool { return h.id == grant.To })
 		f.holders[i].HandleGrant(now, grant)
 	}
