--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -198,5 +198,5 @@
 // isSmallTransfer reports whether a quota is so near its target that it is left as it is.
 func (a *Allocator) isSmallTransfer(target, current int) bool {
 	difference := target - current
-	return target > 0 && difference <= a.rules.MinTransfer && -difference <= a.rules.MinTransfer
+	return target > 0 && difference <= a.rules.TransferThreshold && -difference <= a.rules.TransferThreshold
 }
--- a/internal/control/quota/fleet_test.go
+++ b/internal/control/quota/fleet_test.go
@@ -88,10 +88,10 @@
 func newFleet(t *testing.T, seed uint64, planted bug) *fleet {
 	t.Helper()
 	rules := &Rules{
-		LeaseDuration: 2 * time.Second,
-		MaxClockDrift: 0.05,
-		MaxMembers:    fleetSize,
-		MinTransfer:   1,
+		LeaseDuration:     2 * time.Second,
+		MaxClockDrift:     0.05,
+		MaxMembers:        fleetSize,
+		TransferThreshold: 1,
 		Budgets: []Budget{
 			{Key: "parts/s", Kind: Rate, Units: 40, Refill: time.Second, Base: 1, Reserve: 2},
 			{Key: "parts at once", Kind: Slots, Units: 30, MaxHold: 500 * time.Millisecond, Base: 1},
--- a/internal/control/quota/quota.go
+++ b/internal/control/quota/quota.go
@@ -50,11 +50,11 @@
 
 // Rules must be the same at all processes of a fleet.
 type Rules struct {
-	LeaseDuration time.Duration
-	MaxClockDrift float64 // largest relative error of the rate of a process's clock, at least 0 and under 0.5
-	MaxMembers    int     // the most aggregators that the fleet may have
-	MinTransfer   int     // a quota that is off its target by no more than this many units is left as it is
-	Budgets       []Budget
+	LeaseDuration     time.Duration
+	MaxClockDrift     float64 // largest relative error of the rate of a process's clock, at least 0 and under 0.5
+	MaxMembers        int     // the most aggregators that the fleet may have
+	TransferThreshold int     // a quota that is off its target by no more than this many units is left as it is
+	Budgets           []Budget
 }
 
 // Validate returns an error that names the first invalid value.
@@ -66,8 +66,8 @@
 		return fmt.Errorf("quota: a drift of %v: must be at least 0 and under 0.5", r.MaxClockDrift)
 	case r.MaxMembers < 1:
 		return fmt.Errorf("quota: %d members: must be at least 1", r.MaxMembers)
-	case r.MinTransfer < 0:
-		return fmt.Errorf("quota: a step of %d: must not be negative", r.MinTransfer)
+	case r.TransferThreshold < 0:
+		return fmt.Errorf("quota: a step of %d: must not be negative", r.TransferThreshold)
 	case len(r.Budgets) == 0:
 		return errors.New("quota: no budgets")
 	}
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -28,7 +28,7 @@
 		"lease of 0s":       func(r *Rules) { r.LeaseDuration = 0 },
 		"drift of 0.5":      func(r *Rules) { r.MaxClockDrift = 0.5 },
 		"0 members":         func(r *Rules) { r.MaxMembers = 0 },
-		"step of -1":        func(r *Rules) { r.MinTransfer = -1 },
+		"step of -1":        func(r *Rules) { r.TransferThreshold = -1 },
 		"no budgets":        func(r *Rules) { r.Budgets = nil },
 		"key of its own":    func(r *Rules) { r.Budgets[1].Key = "rate" },
 		"needs a refill":    func(r *Rules) { r.Budgets[0].Refill = 0 },
@@ -293,11 +293,11 @@
 		settling = 20 * time.Second
 	)
 	rules := &Rules{
-		LeaseDuration: 2 * time.Second,
-		MaxClockDrift: 0.01,
-		MaxMembers:    members,
-		MinTransfer:   1,
-		Budgets:       []Budget{{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8}},
+		LeaseDuration:     2 * time.Second,
+		MaxClockDrift:     0.01,
+		MaxMembers:        members,
+		TransferThreshold: 1,
+		Budgets:           []Budget{{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8}},
 	}
 	demands := make([]float64, members)
 	usedByFixedQuotas := 0.0
