--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -64,18 +64,18 @@
 	state.confirmedEpoch = max(state.confirmedEpoch, request.ConfirmedEpoch)
 }
 
-// BeginConfirmation starts a round in which the caller confirms with a quorum that this process is still the
+// BeginLeadershipCheck starts a round in which the caller confirms with a quorum that this process is still the
 // leader, and returns the round's number.
-func (a *Allocator) BeginConfirmation() uint64 {
+func (a *Allocator) BeginLeadershipCheck() uint64 {
 	a.nextRound++
 	return a.nextRound - 1
 }
 
-// Confirm says that a quorum took this process for the leader after the round had begun, and returns the grants for
+// LeadershipConfirmed says that a quorum took this process for the leader after the round had begun, and returns the grants for
 // requests that arrived before it. This protects the budgets from a leader that was replaced without noticing, for
 // example because its process was paused: its successor counts all leases from its election on, so no grant of the
 // replaced one may answer a later request.
-func (a *Allocator) Confirm(now time.Duration, round uint64) (grants []Grant) {
+func (a *Allocator) LeadershipConfirmed(now time.Duration, round uint64) (grants []Grant) {
 	if a.table.term != a.term {
 		return nil // the entry of its term is not committed yet
 	}
@@ -198,5 +198,5 @@
 // isSmallTransfer reports whether a quota is so near its target that it is left as it is.
 func (a *Allocator) isSmallTransfer(target, current int) bool {
 	difference := target - current
-	return target > 0 && difference <= a.rules.MinTransfer && -difference <= a.rules.MinTransfer
+	return target > 0 && difference <= a.rules.TransferThreshold && -difference <= a.rules.TransferThreshold
 }
--- a/internal/control/quota/fleet_test.go
+++ b/internal/control/quota/fleet_test.go
@@ -88,10 +88,10 @@
 func newFleet(t *testing.T, seed uint64, planted bug) *fleet {
 	t.Helper()
 	rules := &Rules{
-		LeaseDuration: 2 * time.Second,
-		MaxClockDrift: 0.05,
-		MaxMembers:    fleetSize,
-		MinTransfer:   1,
+		LeaseDuration:     2 * time.Second,
+		MaxClockDrift:     0.05,
+		MaxMembers:        fleetSize,
+		TransferThreshold: 1,
 		Budgets: []Budget{
 			{Key: "parts/s", Kind: Rate, Units: 40, Refill: time.Second, Base: 1, Reserve: 2},
 			{Key: "parts at once", Kind: Slots, Units: 30, MaxHold: 500 * time.Millisecond, Base: 1},
@@ -311,7 +311,7 @@
 			f.log = append(f.log, e)
 		}
 	}
-	round := d.allocator.BeginConfirmation()
+	round := d.allocator.BeginLeadershipCheck()
 	if i != f.leader && f.plantedBug != leadershipUnconfirmed {
 		return
 	}
@@ -324,7 +324,7 @@
 	if d.allocator == nil || f.now < d.pausedUntil {
 		return
 	}
-	for _, grant := range d.allocator.Confirm(d.read(f.now), round) {
+	for _, grant := range d.allocator.LeadershipConfirmed(d.read(f.now), round) {
 		for _, p := range f.holders {
 			f.send(func() {
 				if !p.dead && f.now >= p.pausedUntil && f.reachable(p, d) {
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -28,7 +28,7 @@
 		"lease of 0s":       func(r *Rules) { r.LeaseDuration = 0 },
 		"drift of 0.5":      func(r *Rules) { r.MaxClockDrift = 0.5 },
 		"0 members":         func(r *Rules) { r.MaxMembers = 0 },
-		"step of -1":        func(r *Rules) { r.MinTransfer = -1 },
+		"step of -1":        func(r *Rules) { r.TransferThreshold = -1 },
 		"no budgets":        func(r *Rules) { r.Budgets = nil },
 		"key of its own":    func(r *Rules) { r.Budgets[1].Key = "rate" },
 		"needs a refill":    func(r *Rules) { r.Budgets[0].Refill = 0 },
@@ -111,9 +111,9 @@
 		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 6}, changes: false, committed: 16},
 		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: true, committed: 4},
 	} {
-		if changes := table.Apply(step.entry); changes != step.changes || table.Committed(0) != step.committed {
+		if changes := table.Apply(step.entry); changes != step.changes || table.Outstanding(0) != step.committed {
 			t.Errorf("entry %d: changes %v, %d committed; want %v, %d",
-				i, changes, table.Committed(0), step.changes, step.committed)
+				i, changes, table.Outstanding(0), step.changes, step.committed)
 		}
 	}
 	if ids := table.Holders(); len(ids) != 1 || ids[0] != a {
@@ -278,7 +278,7 @@
 	for _, entry := range f.allocator.Propose(now) {
 		f.table.Apply(entry)
 	}
-	for _, grant := range f.allocator.Confirm(now, f.allocator.BeginConfirmation()) {
+	for _, grant := range f.allocator.LeadershipConfirmed(now, f.allocator.BeginLeadershipCheck()) {
 		i := slices.IndexFunc(f.holders, func(h *LeaseHolder) bool { return h.id == grant.To })
 		f.holders[i].HandleGrant(now, grant)
 	}
@@ -293,11 +293,11 @@
 		settling = 20 * time.Second
 	)
 	rules := &Rules{
-		LeaseDuration: 2 * time.Second,
-		MaxClockDrift: 0.01,
-		MaxMembers:    members,
-		MinTransfer:   1,
-		Budgets:       []Budget{{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8}},
+		LeaseDuration:     2 * time.Second,
+		MaxClockDrift:     0.01,
+		MaxMembers:        members,
+		TransferThreshold: 1,
+		Budgets:           []Budget{{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8}},
 	}
 	demands := make([]float64, members)
 	usedByFixedQuotas := 0.0
