--- a/internal/control/persistentmap/diff.go
+++ b/internal/control/persistentmap/diff.go
@@ -11,8 +11,8 @@
 	After    V // zero unless InAfter
 }
 
-// Diff calls yield for each key whose value is not the same in two maps, in order, until it returns false. Nodes
-// that the maps share are skipped, so the cost is that of what they do not share.
+// Diff calls yield for each key whose value differs between two maps, in ascending order, until it returns false. Nodes
+// that the maps share are skipped, so the cost depends on the other nodes only.
 func Diff[K cmp.Ordered, V comparable](before, after Map[K, V], yield func(Difference[K, V]) bool) {
 	var a, b cursor[K, V]
 	a.enter(before.root)
@@ -31,8 +31,8 @@
 	}
 }
 
-// nextDifference compares the entries with the smaller key at two cursors, of which one may be done, and steps past
-// them.
+// nextDifference compares the entries at two cursors, at most one of which may be done. It advances the cursor with the
+// smaller key, or both if the keys are equal; then the values may be equal, too.
 func nextDifference[K cmp.Ordered, V comparable](before, after *cursor[K, V]) (d Difference[K, V]) {
 	order := 0
 	switch {
@@ -58,9 +58,9 @@
 	return d
 }
 
-// cursor stands before an entry of a map. Nodes on its path were entered at their first entries.
+// cursor is the position of an entry in a map. Each node is entered at its first entry.
 type cursor[K cmp.Ordered, V any] struct {
-	path []frame[K, V] // from the root to a leaf; empty: all entries are behind the cursor
+	path []frame[K, V] // from the root to a leaf; empty: past the last entry
 }
 
 // frame is a node on a cursor's path, and the position of the entry or child that the cursor is at.
@@ -94,7 +94,7 @@
 	return f.node.values[f.position]
 }
 
-// step goes past the current entry or child of the last node on the path.
+// step advances past the current entry or child of the last node on the path.
 func (c *cursor[K, V]) step() {
 	for len(c.path) > 0 {
 		f := c.last()
@@ -109,13 +109,14 @@
 	}
 }
 
-// skip goes past the node at a depth of the path. The cursor has to be at the node's beginning.
+// skip advances past the node at a depth of the path. The cursor must be at the node's first entry.
 func (c *cursor[K, V]) skip(depth int) {
 	c.path = c.path[:depth]
 	c.step()
 }
 
-// firstAtBeginning returns the smallest depth of the path from which on the cursor is at the beginnings of the nodes.
+// firstAtBeginning returns the depth of the topmost node on the path at whose first entry the cursor is, or the length
+// of the path if there is none.
 func (c *cursor[K, V]) firstAtBeginning() int {
 	depth := len(c.path)
 	for depth > 0 && c.path[depth-1].position == 0 {
@@ -124,7 +125,8 @@
 	return depth
 }
 
-// skipShared goes past the largest node at whose beginning both cursors are, if there is one.
+// skipShared advances both cursors past the largest shared node that both are at the beginning of, and reports whether
+// there is one.
 func skipShared[K cmp.Ordered, V any](a, b *cursor[K, V]) bool {
 	for depthA := a.firstAtBeginning(); depthA < len(a.path); depthA++ {
 		for depthB := b.firstAtBeginning(); depthB < len(b.path); depthB++ {
--- a/internal/control/persistentmap/node.go
+++ b/internal/control/persistentmap/node.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// maxEntries is the most entries of a node: enough that a look-up visits few nodes, and few enough that copying a
-// path is cheap.
+// maxEntries is the maximum number of entries of a node: large enough that a look-up visits few nodes, and small enough
+// that copying a path is cheap.
 const maxEntries = 32
 
-// node is either a leaf, with values, or has children; then keys[i] is the smallest key below children[i]. A node
-// is never changed once it is in a map.
+// node is either a leaf with values, or an inner node with children, whose keys[i] is the smallest key in the subtree
+// of children[i]. A node is never changed once it is in a map.
 type node[K cmp.Ordered, V any] struct {
 	keys     []K
 	values   []V
@@ -19,7 +19,7 @@
 
 func (n *node[K, V]) isLeaf() bool { return n.children == nil }
 
-// floor returns the position of the greatest key that is not above the given one; -1 if there is none.
+// floor returns the position of the greatest key less than or equal to the given one; -1 if there is none.
 func (n *node[K, V]) floor(key K) int {
 	i, found := slices.BinarySearch(n.keys, key)
 	if found {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// set returns a copy of the node in which a key has a value, in two halves if it has too many entries; right is nil if
-// not. added says that the key is new.
+// set returns a copy of the node in which the key has the value. A copy with too many entries is split; otherwise right
+// is nil. added reports whether the key is new.
 func (n *node[K, V]) set(key K, value V) (left, right *node[K, V], added bool) {
 	if n.isLeaf() {
 		return n.setInLeaf(key, value)
@@ -59,7 +59,7 @@
 	return left, right, added
 }
 
-// setInLeaf is set for a leaf.
+// setInLeaf implements set for a leaf.
 func (n *node[K, V]) setInLeaf(key K, value V) (left, right *node[K, V], added bool) {
 	i := n.floor(key)
 	if i >= 0 && n.keys[i] == key {
@@ -75,7 +75,7 @@
 	return left, right, true
 }
 
-// withChild returns a copy of the node with another child at a position.
+// withChild returns a copy of the node in which the child at a position is replaced.
 func (n *node[K, V]) withChild(i int, child *node[K, V]) *node[K, V] {
 	changed := &node[K, V]{keys: slices.Clone(n.keys), children: slices.Clone(n.children)}
 	changed.keys[i] = child.keys[0]
@@ -101,7 +101,8 @@
 	return left, right
 }
 
-// remove returns a copy of the node without a key, nil if nothing is left of it, and whether it had the key.
+// remove returns a copy of the node without the key, or nil if the copy would be empty, and whether the node contained
+// the key.
 func (n *node[K, V]) remove(key K) (remaining *node[K, V], removed bool) {
 	i := n.floor(key)
 	if i < 0 {
@@ -131,8 +132,8 @@
 	return changed, true
 }
 
-// mergeChild merges a child with a neighbour if both together fill at most half a node: look-ups stay short, and a key
-// that is set right after does not split them again. It is used on a node that is not in a map yet.
+// mergeChild merges a child with a neighbor if both together fill at most half a node: the tree stays shallow, and a
+// key that is set right afterwards does not split the merged node. It modifies n, which must not be in a map yet.
 func (n *node[K, V]) mergeChild(i int) {
 	if i+1 >= len(n.children) {
 		i--
--- a/internal/control/persistentmap/persistentmap.go
+++ b/internal/control/persistentmap/persistentmap.go
@@ -1,6 +1,6 @@
-// Package persistentmap is an ordered map that never changes: Set and Delete return a new map, which shares all but
-// the path to the change with the old one. It is a tree like a B+-tree with path copying, made for keeping many
-// versions of a map of which each differs little from the last.
+// Package persistentmap implements an immutable ordered map: Set and Delete return a new map, which shares all nodes
+// but those on the path to the change with the old one. It is a tree like a B+ tree with path copying, suited to
+// retaining many versions of a map that differ little.
 package persistentmap
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Map is an ordered map. The zero value is empty. Any number of goroutines may read one.
+// Map is an immutable ordered map, safe for concurrent use. The zero value is empty.
 type Map[K cmp.Ordered, V any] struct {
 	root *node[K, V]
 	size int
@@ -27,7 +27,7 @@
 	return value, true
 }
 
-// Floor returns the entry with the greatest key that is not above the given one.
+// Floor returns the entry with the greatest key less than or equal to the given one.
 func (m Map[K, V]) Floor(key K) (found K, value V, ok bool) {
 	n := m.root
 	if n == nil {
@@ -36,7 +36,7 @@
 	for {
 		i := n.floor(key)
 		if i < 0 {
-			return found, value, false // only at the root: further down the smallest key is that of the parent's entry
+			return found, value, false // only at the root: a child's smallest key is its key in the parent
 		}
 		if n.isLeaf() {
 			return n.keys[i], n.values[i], true
@@ -45,7 +45,7 @@
 	}
 }
 
-// Below returns the entry with the greatest key that is below the given one.
+// Below returns the entry with the greatest key less than the given one.
 func (m Map[K, V]) Below(key K) (found K, value V, ok bool) {
 	n := m.root
 	for n != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Set returns a map in which a key has a value, and every other key is as in m.
+// Set returns a copy of m in which the key has the value.
 func (m Map[K, V]) Set(key K, value V) Map[K, V] {
 	if m.root == nil {
 		leaf := &node[K, V]{keys: []K{key}, values: []V{value}}
@@ -108,7 +108,7 @@
 	return m
 }
 
-// Delete returns a map without a key, and m itself if it does not have the key.
+// Delete returns a copy of m without the key, or m itself if it does not contain the key.
 func (m Map[K, V]) Delete(key K) Map[K, V] {
 	if m.root == nil {
 		return m
@@ -123,11 +123,12 @@
 	return Map[K, V]{root: root, size: m.size - 1}
 }
 
-// buildEntries is how many entries Build gives a node, so that some can be set later without a split.
+// buildEntries is the number of entries that Build puts in a node: fewer than maxEntries, so that some keys can be
+// added later without a split.
 const buildEntries = maxEntries * 3 / 4
 
-// Build returns a map of entries, whose keys have to be in order and without duplicates. It costs less than setting
-// them one by one.
+// Build returns a map of the given entries, whose keys must be in ascending order without duplicates. It costs less
+// than setting them one by one.
 func Build[K cmp.Ordered, V any](keys []K, values []V) Map[K, V] {
 	if len(keys) == 0 {
 		return Map[K, V]{}
@@ -146,7 +147,7 @@
 	return Map[K, V]{root: level[0], size: len(keys)}
 }
 
-// buildParents returns the nodes above a level of a tree that Build makes.
+// buildParents returns the parents of a level of nodes.
 func buildParents[K cmp.Ordered, V any](level []*node[K, V]) (parents []*node[K, V]) {
 	for i := 0; i < len(level); i += buildEntries {
 		end := min(i+buildEntries, len(level))
--- a/internal/control/persistentmap/persistentmap_test.go
+++ b/internal/control/persistentmap/persistentmap_test.go
@@ -9,14 +9,14 @@
 
 const maxKey = 900
 
-// version is a map with a Go map of the same entries.
+// version is a map and its model, a Go map of the same entries.
 type version struct {
 	m     Map[int, int]
 	model map[int]int
 }
 
-// Random changes are compared with a Go map, and some versions are kept: no version ever changes, and look-ups and
-// differences agree with the model.
+// Random changes are compared with a Go map, and some versions are retained: later changes do not affect them, and
+// look-ups and differences agree with the model.
 func FuzzTree(f *testing.F) {
 	f.Add(uint64(1), uint16(500))
 	f.Add(uint64(2), uint16(4000))
@@ -39,7 +39,7 @@
 	})
 }
 
-// builtVersion is a map that was built of a random number of entries.
+// builtVersion returns a map built from a random number of entries.
 func builtVersion(rng *rand.Rand) version {
 	var keys, values []int
 	model := map[int]int{}
@@ -51,8 +51,8 @@
 	return version{m: Build(keys, values), model: model}
 }
 
-// randomVersions makes a number of changes to a map, whose first model it takes over, and returns some versions and the
-// last.
+// randomVersions makes random changes to a map, starting from first, whose model it modifies. It returns some of the
+// versions and the last one.
 func randomVersions(rng *rand.Rand, first version, steps int) (versions []version) {
 	m := first.m
 	model := first.model
@@ -81,12 +81,12 @@
 		wantAfter, inAfter := after.model[d.Key]
 		switch {
 		case d.Key <= last:
-			t.Fatalf("key %d after %d", d.Key, last)
+			t.Fatalf("key %d was yielded after %d", d.Key, last)
 		case inBefore != d.InBefore || inAfter != d.InAfter,
 			d.Before != wantBefore || d.After != wantAfter:
 			t.Fatalf("want %d %v and %d %v, got %+v", wantBefore, inBefore, wantAfter, inAfter, d)
 		case inBefore && inAfter && d.Before == d.After:
-			t.Fatalf("no difference: %+v", d)
+			t.Fatalf("equal values were yielded: %+v", d)
 		}
 		differs[d.Key] = true
 		last = d.Key
@@ -96,7 +96,7 @@
 		valueBefore, inBefore := before.model[key]
 		valueAfter, inAfter := after.model[key]
 		if (inBefore != inAfter || valueBefore != valueAfter) != differs[key] {
-			t.Fatalf("key %d: found to differ: %v", key, differs[key])
+			t.Fatalf("key %d: was yielded: %v, want %v", key, differs[key], !differs[key])
 		}
 	}
 }
@@ -118,20 +118,20 @@
 	keys := slices.Sorted(maps.Keys(v.model))
 	from, found := slices.BinarySearch(keys, key) // from is the position of the first key not below
 	if value, ok := v.m.Get(key); ok != found || value != v.model[key] {
-		t.Fatalf("get %d: %v %v, want %v", key, value, ok, v.model[key])
+		t.Fatalf("get %d: got %v %v, want %v %v", key, value, ok, v.model[key], found)
 	}
 	floor := from
 	if !found {
 		floor--
 	}
-	if at, value, ok := v.m.Floor(key); ok != (floor >= 0) || ok && (at != keys[floor] || value != v.model[at]) {
-		t.Fatalf("floor %d: %v %v", key, at, ok)
+	if k, value, ok := v.m.Floor(key); ok != (floor >= 0) || ok && (k != keys[floor] || value != v.model[k]) {
+		t.Fatalf("floor of %d: got %v %v", key, k, ok)
 	}
-	if at, _, ok := v.m.Below(key); ok != (from > 0) || ok && at != keys[from-1] {
-		t.Fatalf("below %d: %v %v", key, at, ok)
+	if k, _, ok := v.m.Below(key); ok != (from > 0) || ok && k != keys[from-1] {
+		t.Fatalf("below %d: got %v %v", key, k, ok)
 	}
-	if at, _, ok := v.m.Last(); ok != (len(keys) > 0) || ok && at != keys[len(keys)-1] {
-		t.Fatalf("last: %v %v", at, ok)
+	if k, _, ok := v.m.Last(); ok != (len(keys) > 0) || ok && k != keys[len(keys)-1] {
+		t.Fatalf("last: got %v %v", k, ok)
 	}
 	var ascending []int
 	v.m.Ascend(key, func(key, _ int) bool {
@@ -139,6 +139,6 @@
 		return len(ascending) < 5
 	})
 	if !slices.Equal(ascending, keys[from:min(from+5, len(keys))]) {
-		t.Fatalf("ascend from %d: %v", key, ascending)
+		t.Fatalf("ascend from %d: got %v", key, ascending)
 	}
 }
