--- a/internal/control/quota/allocator.go
+++ b/internal/control/quota/allocator.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Allocator divides the budgets while its process is the leader. It lives for one term: whoever is elected makes a new
-// one on the replicated table. It proposes entries and answers requests. A proposal takes effect only once it has been
-// committed and applied to the table, and no grant leaves before leadership was confirmed after its request arrived. It
-// is not safe for concurrent use.
+// Allocator divides the budgets while its process is the leader. It lasts one term: a newly elected leader creates one
+// from the replicated table. It proposes entries and answers requests. A proposal takes effect only once it has been
+// committed and applied to the table, and a grant is returned only once leadership was confirmed after its request
+// arrived. It is not safe for concurrent use.
 type Allocator struct {
 	rules     *Rules
 	term      uint64
 	table     *Table
 	holders   map[HolderID]*holderState
-	nextRound uint64 // of confirmation: requests that arrive now have to wait for it
+	nextRound uint64 // the next leadership check: requests that arrive now have to wait for it
 }
 
-// holderState is what this term knows of a holder beside the table. It is dropped when the holder has been removed.
+// holderState is this term's state of a holder, in addition to the table. It is dropped once the holder was removed.
 type holderState struct {
 	leaseEnd        time.Duration // of its last grant, by the clock of this process; 0: none sent yet
 	demand          []int         // units of each budget
 	sequence        uint64        // of the newest request; 0: none
-	confirmedEpoch  uint64        // epoch whose plan the holder says it is within
-	afterRound      uint64        // round of confirmation that its grant waits for
-	grantDue        bool          // its newest request is not answered yet
-	removalProposed bool          // its lease is not renewed any more
+	confirmedEpoch  uint64        // epoch whose plan the holder reports to be within
+	afterRound      uint64        // leadership check that its grant waits for
+	grantDue        bool          // its newest request has not been answered yet
+	removalProposed bool          // its lease is no longer renewed
 	proposedEpoch   uint64        // epoch of its record when a plan was last proposed: one proposal at a time
 	retryAt         time.Duration // when to propose that plan again if it was not committed
 }
 
-// StartTerm begins a term at now and returns the entry that announces it, which has to be committed first. The
-// leader before may have renewed every lease in the table until this moment, so all of them count for one more
-// lease; only what is left is divided at once. The table stays the caller's, who applies committed entries to it.
+// StartTerm starts a term at now and returns the entry that announces it, which has to be committed first. The previous
+// leader may have renewed every lease in the table until now, so each of them is assumed to last for one more lease
+// duration; only the remaining units are divided at once. The caller owns the table and applies committed entries to
+// it.
 func StartTerm(rules *Rules, term uint64, table *Table, now time.Duration) (*Allocator, Entry) {
 	a := &Allocator{rules: rules, term: term, table: table, holders: map[HolderID]*holderState{}}
 	for _, r := range table.records {
@@ -44,7 +45,8 @@
 	return a, Entry{Term: term, Kind: TermStarted}
 }
 
-// HandleRequest takes a holder's request. It is answered by Confirm, after the next round of confirmation.
+// HandleRequest handles a holder's request. LeadershipConfirmed returns the grant for it after the next leadership
+// check.
 func (a *Allocator) HandleRequest(request Request) {
 	if len(request.Demand) != len(a.rules.Budgets) {
 		return
@@ -71,10 +73,10 @@
 	return a.nextRound - 1
 }
 
-// LeadershipConfirmed says that a quorum took this process for the leader after the round had begun, and returns the grants for
-// requests that arrived before it. This protects the budgets from a leader that was replaced without noticing, for
-// example because its process was paused: its successor counts all leases from its election on, so no grant of the
-// replaced one may answer a later request.
+// LeadershipConfirmed handles that a quorum confirmed this process as the leader after the round had begun, and returns
+// the grants for requests that arrived before the round. A leader may be replaced without noticing, for example while
+// its process is paused. Its successor assumes that leases were renewed until its election at the latest, so the
+// replaced leader must not grant any later request.
 func (a *Allocator) LeadershipConfirmed(now time.Duration, round uint64) (grants []Grant) {
 	if a.table.term != a.term {
 		return nil // the entry of its term is not committed yet
@@ -96,7 +98,7 @@
 	return grants
 }
 
-// Propose returns the entries that should be committed by now. They are to be applied in their order, if at all.
+// Propose returns the entries that should be committed now. They must be applied in this order, if at all.
 func (a *Allocator) Propose(now time.Duration) (entries []Entry) {
 	if a.table.term != a.term {
 		return nil
@@ -106,7 +108,7 @@
 		if state.confirmedEpoch >= r.epoch && !slices.Equal(r.maxSpend, r.plan) {
 			entries = append(entries, Entry{Term: a.term, Kind: PlanConfirmed, Holder: r.holder, Epoch: r.epoch})
 		}
-		if state.leaseEnd == 0 { // its plan is committed, and no grant was sent yet
+		if state.leaseEnd == 0 { // its plan has been committed, but no grant was sent yet
 			state.leaseEnd = now + a.rules.maxLeaseAtAllocator()
 		}
 		if now >= state.leaseEnd+a.rules.longestSlotHold() {
@@ -117,7 +119,7 @@
 	return append(entries, a.proposePlans(now)...)
 }
 
-// ForgetRemoved drops what is known of removed holders. It should be called after entries were applied.
+// ForgetRemoved drops the state of removed holders. It should be called after entries were applied to the table.
 func (a *Allocator) ForgetRemoved() {
 	for id, state := range a.holders {
 		if a.table.lookup(id) == nil && (state.removalProposed || !state.grantDue) {
@@ -127,7 +129,8 @@
 }
 
 // proposePlans plans the holders' quotas by their demand, and returns entries for those that change. Units that a
-// holder gives up are another's only once it has confirmed the lower plan, so a transfer takes two rounds.
+// holder gives up can be planned for another only once it has confirmed the lower plan, so a transfer takes two
+// proposals.
 func (a *Allocator) proposePlans(now time.Duration) (entries []Entry) {
 	ids := a.plannedHolders()
 	plans := make([][]int, len(ids))
@@ -147,7 +150,7 @@
 		}
 		state := a.holders[id]
 		if state.proposedEpoch == epoch && now < state.retryAt {
-			continue // a proposal is under way
+			continue // the previous proposal is pending
 		}
 		state.proposedEpoch = epoch
 		state.retryAt = now + a.rules.LeaseDuration
@@ -156,7 +159,7 @@
 	return entries
 }
 
-// plannedHolders returns the holders that are to have a quota, in the order of their ids.
+// plannedHolders returns the holders that receive a quota, in the order of their ids.
 func (a *Allocator) plannedHolders() (ids []HolderID) {
 	for id, state := range a.holders {
 		if !state.removalProposed && (a.table.lookup(id) != nil || state.grantDue) {
@@ -176,7 +179,7 @@
 	}
 	leasable := a.rules.leasableUnits(rules)
 	targets := DivideMaxMin(leasable-rules.Reserve, demand)
-	free := leasable - a.table.committed[budget]
+	free := leasable - a.table.outstanding[budget]
 	for i, id := range ids {
 		target := targets[i]
 		maxSpend := 0
@@ -188,14 +191,14 @@
 				target = r.plan[budget]
 			}
 		}
-		// A holder gets more than it may be spending already only from units that nobody may be spending.
+		// A quota is raised beyond what the holder may be spending only by units that no holder may be spending.
 		planned := min(target, maxSpend+available)
 		free -= max(0, planned-maxSpend)
 		plans[i][budget] = planned
 	}
 }
 
-// isSmallTransfer reports whether a quota is so near its target that it is left as it is.
+// isSmallTransfer reports whether a quota is so close to its target that it is left unchanged.
 func (a *Allocator) isSmallTransfer(target, current int) bool {
 	difference := target - current
 	return target > 0 && difference <= a.rules.TransferThreshold && -difference <= a.rules.TransferThreshold
--- a/internal/control/quota/fleet_test.go
+++ b/internal/control/quota/fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// fleet simulates a fleet in one process: clocks with different rates, messages that are late, lost and duplicated,
-// processes that pause, crash and restart, and leaders that are replaced without noticing. It counts what all of them
-// spend, by real time.
+// fleet simulates a fleet in one process: clocks with different rates, messages that are delayed, lost and duplicated,
+// processes that pause, crash and restart, and leaders that are replaced without noticing. It counts what all holders
+// together spend, by real time.
 type fleet struct {
 	rng            *rand.Rand
 	rules          *Rules // of the holders
@@ -23,9 +23,9 @@
 	leader         int // index of the real leader; -1: none
 	term           uint64
 	holders        []*holderProcess
-	deadProcesses  []*holderProcess // whose slots may still be in use
-	tokens         []float64        // of the whole fleet, for rates
-	slotsInUse     []int            // by budget, those of dead processes too
+	crashed        []*holderProcess // whose slots may still be in use
+	tokens         []float64        // of the complete fleet, for rates
+	slotsInUse     []int            // by budget, including those of crashed processes
 	spent          []int
 	rejected       []int
 	violations     []string
@@ -36,16 +36,16 @@
 	deliver   func()
 }
 
-// bug is an error that a test plants, to see that the simulation detects it.
+// bug is a fault that a test plants in the fleet, to check that the simulation detects it.
 type bug string
 
 const (
 	noBug                 bug = ""
 	unitsReturnedEarly    bug = "units returned early"
 	leaseCountedFromGrant bug = "lease counted from the grant"
-	leaseNeverEnds        bug = "lease never ends"
+	leaseNeverExpires     bug = "lease never expires"
 	leadershipUnconfirmed bug = "leadership not confirmed"
-	baseAtOnce            bug = "base at once"
+	baseAtOnce            bug = "base available at once"
 )
 
 // clock is the monotonic clock of one process.
@@ -63,7 +63,7 @@
 	clock
 	table         *Table
 	applied       int        // entries of the log
-	allocator     *Allocator // nil: it does not take itself for the leader
+	allocator     *Allocator // nil: it does not consider itself the leader
 	pausedUntil   time.Duration
 	isolatedUntil time.Duration // it does not receive committed entries until then
 }
@@ -82,7 +82,7 @@
 	id            HolderID
 	pausedUntil   time.Duration
 	demand        float64 // units per second
-	dead          bool
+	crashed       bool
 }
 
 func newFleet(t *testing.T, seed uint64, planted bug) *fleet {
@@ -150,7 +150,7 @@
 	f.holders = append(f.holders, p)
 }
 
-// send delivers a message: soon, late by up to three leases, twice, or never.
+// send delivers a message soon, delayed by up to three lease durations, twice, or never.
 func (f *fleet) send(deliver func()) {
 	for range 1 + f.rng.IntN(8)/7 {
 		latency := time.Duration(f.rng.Int64N(int64(50 * time.Millisecond)))
@@ -168,22 +168,22 @@
 	f.messages = append(f.messages, message{deliverAt: f.now + latency, deliver: deliver})
 }
 
-// violated notes that an invariant does not hold now.
-func (f *fleet) violated(format string, args ...any) {
+// recordViolation records that an invariant is violated now.
+func (f *fleet) recordViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
 
-// spendUnit counts one unit that a holder spent, and notes a violation if that was more than the budget.
+// spendUnit counts one unit that a holder spent, and records a violation if that exceeds the budget.
 func (f *fleet) spendUnit(p *holderProcess, b int) {
 	budget := &f.rules.Budgets[b]
 	f.spent[b]++
 	if budget.Kind == Slots {
 		f.slotsInUse[b]++
 		if f.slotsInUse[b] > budget.Units {
-			f.violated("%d of %d %s are in use", f.slotsInUse[b], budget.Units, budget.Key)
+			f.recordViolation("%d of %d %s are in use", f.slotsInUse[b], budget.Units, budget.Key)
 		}
-		held := time.Duration(f.rng.Int64N(int64(budget.MaxHold)))
-		f.deliverAfter(held, func() {
+		holdTime := time.Duration(f.rng.Int64N(int64(budget.MaxHold)))
+		f.deliverAfter(holdTime, func() {
 			f.slotsInUse[b]--
 			p.holder.Release(b, 1)
 		})
@@ -191,15 +191,16 @@
 	}
 	f.tokens[b]--
 	if f.tokens[b] < -1e-6 {
-		f.violated("%s are overspent by %.3f", budget.Key, -f.tokens[b])
+		f.recordViolation("%s are overspent by %.3f", budget.Key, -f.tokens[b])
 	}
 }
 
-// fleetSize is the largest that the rules allow, so that no unused base hides a quota that was granted twice.
+// fleetSize is the maximum that the rules allow, so that no unused base hides a quota that was granted twice.
 const fleetSize = 8
 
-// allowedUnits is how many units of a budget all processes may spend now, each by its own clock, paused or not, and
-// what they use beyond that. Quotas granted twice show here even if they are not spent at the same time.
+// allowedUnits returns how many units of a budget all processes may currently spend, each by its own clock, paused or
+// not, or have in use if that is more. Quotas granted twice are detected here even if they are not spent at the same
+// time.
 func (f *fleet) allowedUnits(b int) (units int) {
 	budget := &f.rules.Budgets[b]
 	for _, p := range f.holders {
@@ -213,7 +214,7 @@
 		}
 		units += max(allowed, p.holder.accounts[b].inUse)
 	}
-	for _, p := range f.deadProcesses {
+	for _, p := range f.crashed {
 		units += p.holder.accounts[b].inUse
 	}
 	return units
@@ -237,18 +238,18 @@
 		f.runAllocator(i, d)
 	}
 	f.injectFaults()
-	f.deadProcesses = slices.DeleteFunc(f.deadProcesses, func(p *holderProcess) bool {
+	f.crashed = slices.DeleteFunc(f.crashed, func(p *holderProcess) bool {
 		return !slices.ContainsFunc(p.holder.accounts, func(a account) bool { return a.inUse > 0 })
 	})
 	for b := range f.rules.Budgets {
 		budget := &f.rules.Budgets[b]
 		if allowed := f.allowedUnits(b); allowed > budget.Units {
-			f.violated("all together may spend %d of %d %s", allowed, budget.Units, budget.Key)
+			f.recordViolation("all processes together may spend %d of %d %s", allowed, budget.Units, budget.Key)
 		}
 	}
 }
 
-// deliverDue delivers the messages that have arrived by now.
+// deliverDue delivers the messages that are due now.
 func (f *fleet) deliverDue() {
 	messages := f.messages
 	f.messages = nil
@@ -261,9 +262,9 @@
 	}
 }
 
-// runHolder lets an aggregator send a request now and then, and spend what it may.
+// runHolder has an aggregator send requests at random times, and spend units according to its demand.
 func (f *fleet) runHolder(p *holderProcess) {
-	if p.dead || f.now < p.pausedUntil {
+	if p.crashed || f.now < p.pausedUntil {
 		return
 	}
 	now := p.read(f.now)
@@ -291,7 +292,8 @@
 	}
 }
 
-// runAllocator lets a node apply the committed entries and, if it takes itself for the leader, act as it.
+// runAllocator has a node apply committed entries and, if it considers itself the leader, propose entries and confirm
+// its leadership.
 func (f *fleet) runAllocator(i int, d *allocatorNode) {
 	if f.now < d.pausedUntil {
 		return
@@ -307,7 +309,7 @@
 		return
 	}
 	for _, e := range d.allocator.Propose(d.read(f.now)) {
-		if i == f.leader && f.rng.IntN(20) > 0 { // only the real leader's are committed, and some are lost
+		if i == f.leader && f.rng.IntN(20) > 0 { // only entries of the real leader are committed, and some are lost
 			f.log = append(f.log, e)
 		}
 	}
@@ -327,7 +329,7 @@
 	for _, grant := range d.allocator.LeadershipConfirmed(d.read(f.now), round) {
 		for _, p := range f.holders {
 			f.send(func() {
-				if !p.dead && f.now >= p.pausedUntil && f.reachable(p, d) {
+				if !p.crashed && f.now >= p.pausedUntil && f.reachable(p, d) {
 					f.deliverGrant(p, grant)
 				}
 			})
@@ -335,7 +337,7 @@
 	}
 }
 
-// reachable reports whether messages pass between a holder and an allocator.
+// reachable reports whether a holder and an allocator can exchange messages.
 func (f *fleet) reachable(p *holderProcess, d *allocatorNode) bool {
 	if p.onlyAllocator != nil && f.now < p.onlyAllocator.isolatedUntil {
 		return p.onlyAllocator == d
@@ -347,22 +349,22 @@
 	now := p.read(f.now)
 	before := p.holder.answered
 	if f.plantedBug == leaseCountedFromGrant {
-		for i := range p.holder.recentRequests { // its requests seem to have been sent just now
+		for i := range p.holder.recentRequests { // as if its requests had just been sent
 			p.holder.recentRequests[i].sentAt = now
 		}
 	}
 	p.holder.HandleGrant(now, grant)
-	if f.plantedBug == leaseNeverEnds && p.holder.answered > before {
+	if f.plantedBug == leaseNeverExpires && p.holder.answered > before {
 		p.holder.leaseEnd = now + time.Hour
 	}
 }
 
-// happens is a random event that occurs once in a time, on average.
-func (f *fleet) happens(every time.Duration) bool {
-	return f.rng.Float64() < tick.Seconds()/every.Seconds()
+// happens reports whether a random event with a given mean interval happens in this tick.
+func (f *fleet) happens(meanInterval time.Duration) bool {
+	return f.rng.Float64() < tick.Seconds()/meanInterval.Seconds()
 }
 
-// injectFaults elects and deposes leaders, and pauses, kills and starts processes.
+// injectFaults elects and deposes leaders, and pauses, crashes and restarts processes.
 func (f *fleet) injectFaults() {
 	if f.leader < 0 && f.happens(300*time.Millisecond) {
 		f.electLeader()
@@ -374,30 +376,30 @@
 		p := f.holders[f.rng.IntN(len(f.holders))]
 		p.pausedUntil = f.now + time.Duration(f.rng.Int64N(int64(2*f.rules.LeaseDuration)))
 	}
-	if f.happens(3 * time.Second) { // a process crashes and is restarted
-		f.kill(f.rng.IntN(len(f.holders)))
+	if f.happens(3 * time.Second) {
+		f.crash(f.rng.IntN(len(f.holders)))
 	}
-	if f.happens(20 * time.Second) { // all at once
+	if f.happens(20 * time.Second) { // all processes crash at once
 		for i := range f.holders {
-			f.kill(i)
+			f.crash(i)
 		}
 	}
 }
 
-// electLeader makes a random node the leader, which begins a term.
+// electLeader makes a random node the leader, which starts a term.
 func (f *fleet) electLeader() {
 	f.leader = f.rng.IntN(len(f.allocators))
 	d := f.allocators[f.leader]
 	d.pausedUntil = f.now
 	d.isolatedUntil = f.now
-	d.applyLog(f.log) // a new leader knows everything that was committed before its term
+	d.applyLog(f.log) // a new leader has every entry that was committed before its term
 	f.term++
 	var termStarted Entry
 	d.allocator, termStarted = StartTerm(f.allocatorRules, f.term, d.table, d.read(f.now))
 	f.log = append(f.log, termStarted)
 }
 
-// deposeLeader ends that a node is the leader. The node knows it, or is paused, or is isolated.
+// deposeLeader ends the leadership of a node, which is notified, or paused, or isolated.
 func (f *fleet) deposeLeader() {
 	d := f.allocators[f.leader]
 	switch f.rng.IntN(3) {
@@ -417,16 +419,17 @@
 	f.leader = -1
 }
 
-func (f *fleet) kill(i int) {
+// crash replaces a process, given by its index, by a new process of the same aggregator.
+func (f *fleet) crash(i int) {
 	p := f.holders[i]
-	p.dead = true
-	f.deadProcesses = append(f.deadProcesses, p)
+	p.crashed = true
+	f.crashed = append(f.crashed, p)
 	f.startProcess(p.id.Aggregator)
 	f.holders[i] = f.holders[len(f.holders)-1]
 	f.holders = f.holders[:len(f.holders)-1]
 }
 
-// runFleet simulates a fleet until a violation, or for a time.
+// runFleet simulates a fleet until the first violation, or for a duration.
 func runFleet(t *testing.T, seed uint64, planted bug, duration time.Duration) *fleet {
 	t.Helper()
 	f := newFleet(t, seed, planted)
@@ -436,7 +439,7 @@
 	return f
 }
 
-// Every budget is both spent from and exhausted, so that the limits are tried.
+// No budget is overspent. Each is both spent from and exhausted, so that its limit is tested.
 func TestFleet_NeverSpendsMoreThanTheBudget(t *testing.T) {
 	for seed := range uint64(15) {
 		f := runFleet(t, seed, noBug, 40*time.Second)
@@ -457,7 +460,7 @@
 	for _, planted := range []bug{
 		unitsReturnedEarly,
 		leaseCountedFromGrant,
-		leaseNeverEnds,
+		leaseNeverExpires,
 		leadershipUnconfirmed,
 		baseAtOnce,
 	} {
@@ -471,7 +474,7 @@
 	}
 }
 
-// FuzzFleet looks for a fleet that spends more than a budget. Each seed is another fleet with other faults.
+// FuzzFleet searches for a fleet that spends more than a budget. Each seed gives another fleet with other faults.
 func FuzzFleet(fuzz *testing.F) {
 	fuzz.Add(uint64(1000))
 	fuzz.Fuzz(func(t *testing.T, seed uint64) {
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Mode is what a holder spends by.
+// Mode is what a holder may spend.
 type Mode int
 
 const (
-	// BaseOnly holders have no valid lease: they spend their part of what is set aside.
+	// BaseOnly holders have no valid lease and may spend only their base.
 	BaseOnly Mode = iota
-	// Leased holders have a valid lease, beside the base.
+	// Leased holders have a valid lease in addition to the base.
 	Leased
 )
 
 // String returns the name of the mode as logs print it.
 func (m Mode) String() string { return [...]string{"base", "lease"}[m] }
 
-// account is what a holder has of one budget.
+// account is a holder's account of one budget.
 type account struct {
-	leased         int     // units leased; none once the lease is over
-	leasedTokens   float64 // Rate: tokens of the lease that may be spent now
-	unleasedTokens float64 // Rate: tokens of the base that may be spent now
-	inUse          int     // Slots: units taken and not released
-	recentDemand   int     // Rate: units wanted since the last request, admitted or not; Slots: the most at once
-	// smoothedDemand is, for Rate, the units wanted within a refill, smoothed over some leases; for Slots the most
-	// that were in use at once, which decays slowly.
+	leased       int     // units leased; 0 once the lease has expired
+	leasedTokens float64 // Rate: tokens of the lease that may be spent now
+	baseTokens   float64 // Rate: tokens of the base that may be spent now
+	inUse        int     // Slots: units acquired and not released
+	recentDemand int     // units wanted since the last request, admitted or not; Slots: the most wanted at once
+	// smoothedDemand is an exponential moving average of the units wanted per refill, for Rate; for Slots, a slowly
+	// decaying maximum of the units wanted at once.
 	smoothedDemand float64
 }
 
-// LeaseHolder is the side of an aggregator. It belongs to one process and ends with it; a new process makes a new one
-// with a HolderID of its own. It is not safe for concurrent use. Spend and Release do not allocate.
+// LeaseHolder requests leases for an aggregator and spends within them. It belongs to one process; a new process
+// creates a new one with its own HolderID. It is not safe for concurrent use. Spend and Release do not allocate memory.
 type LeaseHolder struct {
 	rules          *Rules
 	id             HolderID
@@ -40,25 +40,26 @@
 	refilledAt     time.Duration // when the accounts were last brought up to date
 	leaseEnd       time.Duration // by this process's clock; 0: no lease yet
 	epoch          uint64        // of the last grant
-	confirmedEpoch uint64        // the accounts are within this epoch's plan
+	confirmedEpoch uint64        // the accounts are within the plan of this epoch
 	sequence       uint64        // of the last request
 	answered       uint64        // sequence of the request that the last accepted grant answers
 	recentRequests [maxRecentRequests]sentRequest
 	demandSince    time.Duration // when recentDemand began to be counted
 }
 
-// sentRequest is when a request was sent. The lease that is granted for it counts from then.
+// sentRequest is the time when a request was sent, from which the lease granted for it counts.
 type sentRequest struct {
 	sequence uint64
 	sentAt   time.Duration
 }
 
-// maxRecentRequests is how many requests a grant may still answer. Leases of older ones would end sooner than those of
-// the requests since.
+// maxRecentRequests is how many of the newest requests a grant may answer. Leases for older requests would expire
+// before those for newer ones.
 const maxRecentRequests = 8
 
-// NewLeaseHolder returns the holder of a process that started at now. It has spent nothing: its base of rates begins
-// empty, and its base of slots counts once what an earlier process of this aggregator may have in use has ended.
+// NewLeaseHolder returns the holder of a process that started at now. An earlier process of the aggregator may have
+// just spent the base, so the base of rates starts empty, and the base of slots is available only once slots that the
+// earlier process may have in use must have been released.
 func NewLeaseHolder(rules *Rules, id HolderID, now time.Duration) *LeaseHolder {
 	return &LeaseHolder{
 		rules:       rules,
@@ -70,7 +71,7 @@
 	}
 }
 
-// advance refills the accounts up to now. Leased tokens fill until the lease is over and are dropped then.
+// advance refills the accounts up to now. Leased tokens refill until the lease expires and are dropped then.
 func (h *LeaseHolder) advance(now time.Duration) {
 	if now <= h.refilledAt {
 		return
@@ -80,8 +81,8 @@
 	for i := range h.accounts {
 		a, b := &h.accounts[i], &h.rules.Budgets[i]
 		if b.Kind == Rate {
-			period := scale(b.Refill, 1+h.rules.MaxClockDrift) // no sooner by any clock of the fleet
-			a.unleasedTokens = refill(a.unleasedTokens, b.Base, sinceRefill, period)
+			period := scale(b.Refill, 1+h.rules.MaxClockDrift) // at least Refill by any clock of the fleet
+			a.baseTokens = refill(a.baseTokens, b.Base, sinceRefill, period)
 			a.leasedTokens = refill(a.leasedTokens, a.leased, leasedTime, period)
 		}
 		if now >= h.leaseEnd {
@@ -97,7 +98,7 @@
 	return min(float64(capacity), tokens+float64(capacity)*float64(elapsed)/float64(period))
 }
 
-// Mode returns what the holder spends by.
+// Mode returns what the holder may spend.
 func (h *LeaseHolder) Mode(now time.Duration) Mode {
 	if now < h.leaseEnd {
 		return Leased
@@ -105,19 +106,19 @@
 	return BaseOnly
 }
 
-// Spend takes units of a budget, given by its index in Rules.Budgets, and reports whether it was allowed to: it takes
-// all or none. It must be called at the moment of spending, since the lease is judged by now.
+// Spend acquires units of a budget, given by its index in Rules.Budgets, and reports whether it did; it acquires all or
+// none. It must be called at the moment of spending, since the lease must be valid at now.
 func (h *LeaseHolder) Spend(now time.Duration, budget, units int) bool {
 	h.advance(now)
 	a, b := &h.accounts[budget], &h.rules.Budgets[budget]
 	if b.Kind == Slots {
-		return a.takeSlots(units, h.slotLimit(a, b))
+		return a.acquireSlots(units, h.slotLimit(a, b))
 	}
-	return a.takeTokens(units)
+	return a.acquireTokens(units)
 }
 
-// takeSlots takes units of a Slots budget if no more than limit are in use then.
-func (a *account) takeSlots(units, limit int) bool {
+// acquireSlots acquires units of a Slots budget if no more than limit are in use afterwards.
+func (a *account) acquireSlots(units, limit int) bool {
 	inUse := a.inUse + units
 	a.recentDemand = max(a.recentDemand, inUse)
 	if inUse > limit {
@@ -127,26 +128,26 @@
 	return true
 }
 
-// takeTokens takes units of a Rate budget if there are as many tokens, those of the lease first.
-func (a *account) takeTokens(units int) bool {
+// acquireTokens acquires units of a Rate budget if there are enough tokens, those of the lease first.
+func (a *account) acquireTokens(units int) bool {
 	a.recentDemand += units
 	leased := wholeUnits(a.leasedTokens)
-	if leased+wholeUnits(a.unleasedTokens) < units {
+	if leased+wholeUnits(a.baseTokens) < units {
 		return false
 	}
 	fromLease := min(leased, units)
 	a.leasedTokens = max(0, a.leasedTokens-float64(fromLease))
-	a.unleasedTokens = max(0, a.unleasedTokens-float64(units-fromLease))
+	a.baseTokens = max(0, a.baseTokens-float64(units-fromLease))
 	return true
 }
 
-// tokenRoundingError is by how much a sum of tokens may be too small.
+// tokenRoundingError is the largest rounding error of a sum of tokens.
 const tokenRoundingError = 1e-9
 
 // wholeUnits rounds tokens down, and allows for the rounding errors of their sums.
 func wholeUnits(tokens float64) int { return int(tokens + tokenRoundingError) }
 
-// slotLimit is how many units may be in use at once.
+// slotLimit returns how many units of a Slots budget may be in use at once.
 func (h *LeaseHolder) slotLimit(a *account, b *Budget) int {
 	if h.refilledAt-h.startedAt < h.rules.maxSlotHold(b) {
 		return a.leased
@@ -154,7 +155,7 @@
 	return a.leased + b.Base
 }
 
-// Release gives units of a Slots budget back once the work that they were taken for has ended.
+// Release returns units of a Slots budget once the work that they were acquired for has completed.
 func (h *LeaseHolder) Release(budget, units int) {
 	a := &h.accounts[budget]
 	a.inUse = max(0, a.inUse-units)
@@ -170,8 +171,8 @@
 	return a.leased + b.Base
 }
 
-// NextRequest returns the next message to the allocator. It should be called several times in a lease, since messages
-// may be lost.
+// NextRequest returns the next request to the allocator. It should be called several times within a lease, since
+// messages may be lost.
 func (h *LeaseHolder) NextRequest(now time.Duration) Request {
 	h.advance(now)
 	h.sequence++
@@ -185,37 +186,37 @@
 	}
 	elapsed := max(now-h.demandSince, 0)
 	for i := range h.accounts {
-		request.Demand[i] = h.accounts[i].takeDemand(&h.rules.Budgets[i], elapsed, h.rules.LeaseDuration)
+		request.Demand[i] = h.accounts[i].nextDemand(&h.rules.Budgets[i], elapsed, h.rules.LeaseDuration)
 	}
 	h.demandSince = now
 	return request
 }
 
-// demandTolerance is how much of a unit smoothed demand may exceed a whole number by without one more being requested.
+// demandTolerance is by how many units smoothed demand may exceed a whole number before one more unit is requested.
 const demandTolerance = 0.1
 
-// takeDemand returns the units to request, from the demand of the elapsed time and the smoothed demand before it, and
-// begins to count anew.
-func (a *account) takeDemand(budget *Budget, elapsed, lease time.Duration) int {
+// nextDemand updates the smoothed demand by that of the elapsed time, returns the units to request, and resets the
+// count of recent demand.
+func (a *account) nextDemand(budget *Budget, elapsed, lease time.Duration) int {
 	weight := 1 - math.Exp(-float64(elapsed)/float64(max(lease, budget.Refill)))
 	recent := float64(a.recentDemand)
 	switch {
-	case budget.Kind == Slots: // rises at once
+	case budget.Kind == Slots: // increases at once, decreases slowly
 		a.smoothedDemand = max(recent, a.smoothedDemand-weight*(a.smoothedDemand-recent))
 	case elapsed > 0:
 		perRefill := recent * float64(budget.Refill) / float64(elapsed)
 		a.smoothedDemand += weight * (perRefill - a.smoothedDemand)
 	}
 	demand := int(math.Ceil(a.smoothedDemand - demandTolerance))
-	if a.recentDemand > 0 { // at least one, where one was wanted just now
+	if a.recentDemand > 0 { // at least one unit if any was wanted recently
 		demand = max(demand, 1)
 	}
 	a.recentDemand = a.inUse
 	return demand
 }
 
-// confirmEpoch notes the epoch whose plan the accounts are within. Slots in use beyond a lowered quota delay it: they
-// must not be granted to another holder yet.
+// confirmEpoch records that the accounts are within the plan of the last grant. Slots in use beyond a lowered quota
+// delay that, since they must not be granted to another holder yet.
 func (h *LeaseHolder) confirmEpoch() {
 	for i := range h.accounts {
 		a, b := &h.accounts[i], &h.rules.Budgets[i]
@@ -226,8 +227,8 @@
 	h.confirmedEpoch = h.epoch
 }
 
-// HandleGrant takes a grant. One that is late, duplicated, meant for another process or older than one taken already is
-// ignored: the lease counts from before its request was sent, whenever the grant arrives.
+// HandleGrant accepts a grant, or ignores it if it is overdue, duplicated, for another process or older than an
+// accepted one. The lease counts from before its request was sent, whenever the grant arrives.
 func (h *LeaseHolder) HandleGrant(now time.Duration, grant Grant) {
 	h.advance(now)
 	request := h.recentRequests[grant.Sequence%maxRecentRequests]
@@ -241,7 +242,7 @@
 	for i := range h.accounts {
 		a := &h.accounts[i]
 		a.leased = max(0, grant.Units[i])
-		// A raised quota fills at its rate: its previous owner may have spent its tokens just now.
+		// The tokens of a raised quota accrue at its rate: its previous holder may have just spent them.
 		a.leasedTokens = min(a.leasedTokens, float64(a.leased))
 	}
 	h.confirmEpoch()
--- a/internal/control/quota/maxmin.go
+++ b/internal/control/quota/maxmin.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// DivideMaxMin divides units by max-min fairness and returns the quotas, in the order of the demands. Whoever gets
-// less than it demands gets as much as anybody else, but for one unit; nobody gets more than it demands until all
-// demands are met. Units beyond all demands are divided evenly, since the next demands are not known. Quotas of
-// equal demands may differ by one unit, with the larger first.
+// DivideMaxMin divides units by max-min fairness and returns the quotas, in the order of the demands. A quota below its
+// demand is at most one unit smaller than any other, and no quota exceeds its demand until all demands are met. Units
+// beyond all demands are divided evenly, since future demands are unknown. Quotas of equal demands may differ by one
+// unit, with the larger first.
 func DivideMaxMin(units int, demands []int) []int {
 	quotas := make([]int, len(demands))
 	ascending := make([]int, len(demands)) // indices of demands, the smallest first
@@ -14,21 +14,21 @@
 	}
 	slices.SortStableFunc(ascending, func(i, j int) int { return demands[i] - demands[j] })
 	remaining := units
-	for served, i := range ascending { // each gets an even part of what remains, or all it demands
-		evenPart := remaining / (len(ascending) - served)
-		quotas[i] = max(0, min(demands[i], evenPart))
+	for served, i := range ascending { // each is an equal share of the remaining units, or the demand if that is less
+		equalShare := remaining / (len(ascending) - served)
+		quotas[i] = max(0, min(demands[i], equalShare))
 		remaining -= quotas[i]
 	}
-	for _, i := range ascending { // units that the integer divisions left over
+	for _, i := range ascending { // the remainder of the integer divisions
 		if remaining > 0 && quotas[i] < demands[i] {
 			quotas[i]++
 			remaining--
 		}
 	}
 	for served, i := range ascending { // units beyond all demands
-		evenPart := remaining / (len(ascending) - served)
-		quotas[i] += evenPart
-		remaining -= evenPart
+		equalShare := remaining / (len(ascending) - served)
+		quotas[i] += equalShare
+		remaining -= equalShare
 	}
 	return quotas
 }
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -25,17 +25,17 @@
 		t.Fatal(err)
 	}
 	for reason, invalidate := range map[string]func(*Rules){
-		"lease of 0s":       func(r *Rules) { r.LeaseDuration = 0 },
-		"drift of 0.5":      func(r *Rules) { r.MaxClockDrift = 0.5 },
-		"0 members":         func(r *Rules) { r.MaxMembers = 0 },
-		"step of -1":        func(r *Rules) { r.TransferThreshold = -1 },
-		"no budgets":        func(r *Rules) { r.Budgets = nil },
-		"key of its own":    func(r *Rules) { r.Budgets[1].Key = "rate" },
-		"needs a refill":    func(r *Rules) { r.Budgets[0].Refill = 0 },
-		"need a hold":       func(r *Rules) { r.Budgets[1].MaxHold = 0 },
-		"kind 7":            func(r *Rules) { r.Budgets[0].Kind = 7 },
-		"0 units":           func(r *Rules) { r.Budgets[0].Units = 0 },
-		"more than its 20 ": func(r *Rules) { r.Budgets[0].Base = 5 },
+		"lease duration 0s":            func(r *Rules) { r.LeaseDuration = 0 },
+		"drift 0.5":                    func(r *Rules) { r.MaxClockDrift = 0.5 },
+		"0 members":                    func(r *Rules) { r.MaxMembers = 0 },
+		"threshold -1":                 func(r *Rules) { r.TransferThreshold = -1 },
+		"no budgets":                   func(r *Rules) { r.Budgets = nil },
+		"must be non-empty and unique": func(r *Rules) { r.Budgets[1].Key = "rate" },
+		"needs a positive refill":      func(r *Rules) { r.Budgets[0].Refill = 0 },
+		"need a positive hold":         func(r *Rules) { r.Budgets[1].MaxHold = 0 },
+		"kind 7":                       func(r *Rules) { r.Budgets[0].Kind = 7 },
+		"0 units":                      func(r *Rules) { r.Budgets[0].Units = 0 },
+		"exceed its 20 units":          func(r *Rules) { r.Budgets[0].Base = 5 },
 	} {
 		r := testRules()
 		invalidate(r)
@@ -45,7 +45,7 @@
 	}
 }
 
-// DivideMaxMin gives out all units, and nobody gets more than another whose demand is not met, but for one unit.
+// DivideMaxMin assigns all units, and no quota exceeds another that is below its demand by more than one unit.
 func FuzzDivide(f *testing.F) {
 	f.Add(uint16(10), []byte{1, 9, 9, 0})
 	f.Add(uint16(0), []byte{3})
@@ -80,40 +80,40 @@
 	})
 }
 
-// An entry that would exceed a budget changes nothing, nor does one of a term that is over, and units that a holder
-// gives up are free only once it has confirmed the lower plan, or was removed.
+// An entry that would exceed a budget changes nothing, nor does one of an earlier term. Units that a holder gives up
+// are free only once it has confirmed the lower plan or was removed.
 func TestTable_Apply_NeverExceedsTheBudget(t *testing.T) {
 	table := NewTable(testRules())
 	a := HolderID{"a", 1}
 	b := HolderID{"b", 1}
 	for i, step := range []struct {
-		entry     Entry
-		changes   bool
-		committed int
+		entry       Entry
+		changes     bool
+		outstanding int
 	}{
-		{entry: Entry{Term: 1, Kind: TermStarted}, changes: true, committed: 0},
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: a, Plan: []int{10, 3}}, changes: true, committed: 10},
-		// 16 are leased.
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{7, 3}}, changes: false, committed: 10},
-		// Negative.
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{-1, 3}}, changes: false, committed: 10},
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{1}}, changes: false, committed: 10},
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{6, 3}}, changes: true, committed: 16},
-		// It may still be spending 10.
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: a, Plan: []int{4, 3}}, changes: true, committed: 16},
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{12, 3}}, changes: false, committed: 16},
-		// The epoch of its first plan.
-		{entry: Entry{Term: 1, Kind: PlanConfirmed, Holder: a, Epoch: 2}, changes: false, committed: 16},
-		{entry: Entry{Term: 1, Kind: PlanConfirmed, Holder: a, Epoch: 7}, changes: true, committed: 10},
-		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{12, 3}}, changes: true, committed: 16},
-		{entry: Entry{Term: 2, Kind: TermStarted}, changes: true, committed: 16},
-		{entry: Entry{Term: 1, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: false, committed: 16},
-		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 6}, changes: false, committed: 16},
-		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: true, committed: 4},
+		{entry: Entry{Term: 1, Kind: TermStarted}, changes: true, outstanding: 0},
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: a, Plan: []int{10, 3}}, changes: true, outstanding: 10},
+		// 16 units are leasable.
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{7, 3}}, changes: false, outstanding: 10},
+		// Negative units, and units of too few budgets.
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{-1, 3}}, changes: false, outstanding: 10},
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{1}}, changes: false, outstanding: 10},
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{6, 3}}, changes: true, outstanding: 16},
+		// The holder may still be spending 10.
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: a, Plan: []int{4, 3}}, changes: true, outstanding: 16},
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{12, 3}}, changes: false, outstanding: 16},
+		// The epoch of its first plan, and of its newest.
+		{entry: Entry{Term: 1, Kind: PlanConfirmed, Holder: a, Epoch: 2}, changes: false, outstanding: 16},
+		{entry: Entry{Term: 1, Kind: PlanConfirmed, Holder: a, Epoch: 7}, changes: true, outstanding: 10},
+		{entry: Entry{Term: 1, Kind: PlanSet, Holder: b, Plan: []int{12, 3}}, changes: true, outstanding: 16},
+		{entry: Entry{Term: 2, Kind: TermStarted}, changes: true, outstanding: 16},
+		{entry: Entry{Term: 1, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: false, outstanding: 16},
+		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 6}, changes: false, outstanding: 16},
+		{entry: Entry{Term: 2, Kind: HolderRemoved, Holder: b, Epoch: 11}, changes: true, outstanding: 4},
 	} {
-		if changes := table.Apply(step.entry); changes != step.changes || table.Outstanding(0) != step.committed {
-			t.Errorf("entry %d: changes %v, %d committed; want %v, %d",
-				i, changes, table.Outstanding(0), step.changes, step.committed)
+		if changes := table.Apply(step.entry); changes != step.changes || table.Outstanding(0) != step.outstanding {
+			t.Errorf("entry %d: changes %v, %d units outstanding; want %v, %d",
+				i, changes, table.Outstanding(0), step.changes, step.outstanding)
 		}
 	}
 	if ids := table.Holders(); len(ids) != 1 || ids[0] != a {
@@ -121,25 +121,25 @@
 	}
 }
 
-// A lease counts from before its request, and a grant that is late, duplicated, another process's or overtaken is
-// ignored.
+// The lease counts from before its request was sent. A grant that is overdue, duplicated, for another process or
+// overtaken by a newer one is ignored.
 func TestLeaseHolder_HandleGrant_IgnoresInvalidGrants(t *testing.T) {
 	now := time.Hour
-	me := HolderID{"a", 7}
-	h := NewLeaseHolder(testRules(), me, now)
+	id := HolderID{"a", 7}
+	h := NewLeaseHolder(testRules(), id, now)
 	if h.Spend(now, 0, 1) || h.Spend(now, 1, 1) || h.Mode(now) != BaseOnly {
-		t.Error("a process that has just started may spend its base, though the one before it may have spent that")
+		t.Error("a process that has just started may spend its base, which the previous process may have just spent")
 	}
 	request := h.NextRequest(now)
-	grant := Grant{To: me, Sequence: request.Sequence, Epoch: 3, Units: []int{5, 2}}
-	for what, bad := range map[string]Grant{
+	grant := Grant{To: id, Sequence: request.Sequence, Epoch: 3, Units: []int{5, 2}}
+	for name, invalid := range map[string]Grant{
 		"for another process": {To: HolderID{"a", 6}, Sequence: request.Sequence, Epoch: 3, Units: []int{5, 2}},
-		"for no request":      {To: me, Sequence: 9, Epoch: 3, Units: []int{5, 2}},
-		"of other budgets":    {To: me, Sequence: request.Sequence, Epoch: 3, Units: []int{5}},
+		"for no request":      {To: id, Sequence: 9, Epoch: 3, Units: []int{5, 2}},
+		"of other budgets":    {To: id, Sequence: request.Sequence, Epoch: 3, Units: []int{5}},
 	} {
-		h.HandleGrant(now, bad)
+		h.HandleGrant(now, invalid)
 		if h.Mode(now) != BaseOnly {
-			t.Errorf("a grant %s was accepted", what)
+			t.Errorf("a grant %s was accepted", name)
 		}
 	}
 	now += 400 * time.Millisecond
@@ -147,73 +147,74 @@
 	if h.Allowance(now, 0) != 6 || h.Allowance(now, 1) != 2 {
 		t.Errorf("allowances are %d and %d", h.Allowance(now, 0), h.Allowance(now, 1))
 	}
-	if h.Spend(now, 0, 2) { // 0.4 of the base; nothing of what has just been leased
-		t.Error("a new quota may be spent at once, though its previous owner may just have done so")
+	if h.Spend(now, 0, 2) { // 0.4 tokens of the base, and none of the new lease
+		t.Error("a new quota may be spent at once, though its previous holder may have just spent it")
 	}
-	h.HandleGrant(now, Grant{To: me, Sequence: request.Sequence, Epoch: 4, Units: []int{9, 9}})
+	h.HandleGrant(now, Grant{To: id, Sequence: request.Sequence, Epoch: 4, Units: []int{9, 9}})
 	if h.Allowance(now, 0) != 6 {
 		t.Error("a second grant for one request was accepted")
 	}
-	two := h.NextRequest(now)
-	three := h.NextRequest(now)
-	h.HandleGrant(now, Grant{To: me, Sequence: three.Sequence, Epoch: 5, Units: []int{4, 2}})
-	h.HandleGrant(now, Grant{To: me, Sequence: two.Sequence, Epoch: 4, Units: []int{8, 2}})
+	second := h.NextRequest(now)
+	third := h.NextRequest(now)
+	h.HandleGrant(now, Grant{To: id, Sequence: third.Sequence, Epoch: 5, Units: []int{4, 2}})
+	h.HandleGrant(now, Grant{To: id, Sequence: second.Sequence, Epoch: 4, Units: []int{8, 2}})
 	if h.Allowance(now, 0) != 5 {
-		t.Errorf("an overtaken grant was accepted: %d", h.Allowance(now, 0))
+		t.Errorf("an overtaken grant was accepted: the allowance is %d, want 5", h.Allowance(now, 0))
 	}
 }
 
-// A lease ends by the holder's clock the drift sooner than its nominal time, counted from its request.
+// By the holder's clock, a lease expires earlier than its nominal duration by the maximum drift, counted from its
+// request.
 func TestLeaseHolder_LeaseEnds(t *testing.T) {
 	now := time.Hour
-	me := HolderID{"a", 7}
-	h := NewLeaseHolder(testRules(), me, now)
+	id := HolderID{"a", 7}
+	h := NewLeaseHolder(testRules(), id, now)
 	now += 400 * time.Millisecond
-	h.HandleGrant(now, Grant{To: me, Sequence: h.NextRequest(now).Sequence, Epoch: 5, Units: []int{4, 2}})
-	now += 899 * time.Millisecond // of the lease of a second, less the drift of a tenth
+	h.HandleGrant(now, Grant{To: id, Sequence: h.NextRequest(now).Sequence, Epoch: 5, Units: []int{4, 2}})
+	now += 899 * time.Millisecond // the lease lasts 1 s less a drift of 10%
 	if h.Mode(now) != Leased || !h.Spend(now, 0, 3) || !h.Spend(now, 1, 3) {
-		t.Error("the lease ended too soon")
+		t.Error("the lease expired too early")
 	}
 	now += time.Millisecond
 	if h.Mode(now) != BaseOnly || h.Allowance(now, 0) != 1 || h.Spend(now, 1, 1) {
-		t.Error("the lease has not ended")
+		t.Error("the lease has not expired")
 	}
-	late := h.NextRequest(now)
+	overdue := h.NextRequest(now)
 	now += time.Second
-	h.HandleGrant(now, Grant{To: me, Sequence: late.Sequence, Epoch: 6, Units: []int{8, 2}})
+	h.HandleGrant(now, Grant{To: id, Sequence: overdue.Sequence, Epoch: 6, Units: []int{8, 2}})
 	if h.Mode(now) != BaseOnly {
-		t.Error("a grant that arrived after its lease was accepted")
+		t.Error("a grant that arrived after the end of its lease was accepted")
 	}
 	h.Release(1, 3)
 	if !h.Spend(now, 1, 1) || h.Spend(now, 1, 1) {
-		t.Error("the base is one slot")
+		t.Error("the base is not one slot")
 	}
 }
 
-// Slots in use beyond a lowered quota are confirmed as given up only once they are released.
+// A lowered quota is confirmed only once the slots in use beyond it are released.
 func TestLeaseHolder_ConfirmsALowerQuotaOnceSlotsAreReleased(t *testing.T) {
 	now := time.Duration(0)
-	me := HolderID{"a", 1}
-	h := NewLeaseHolder(testRules(), me, now)
-	h.HandleGrant(now, Grant{To: me, Sequence: h.NextRequest(now).Sequence, Epoch: 1, Units: []int{0, 5}})
+	id := HolderID{"a", 1}
+	h := NewLeaseHolder(testRules(), id, now)
+	h.HandleGrant(now, Grant{To: id, Sequence: h.NextRequest(now).Sequence, Epoch: 1, Units: []int{0, 5}})
 	if !h.Spend(now, 1, 5) {
-		t.Fatal("it may not spend what it was granted")
+		t.Fatal("the holder may not spend what it was granted")
 	}
-	h.HandleGrant(now, Grant{To: me, Sequence: h.NextRequest(now).Sequence, Epoch: 2, Units: []int{0, 2}})
+	h.HandleGrant(now, Grant{To: id, Sequence: h.NextRequest(now).Sequence, Epoch: 2, Units: []int{0, 2}})
 	if request := h.NextRequest(now); request.ConfirmedEpoch != 1 || request.Demand[1] != 5 {
 		t.Errorf("%+v", request)
 	}
 	h.Release(1, 3)
 	if h.NextRequest(now).ConfirmedEpoch != 2 {
-		t.Error("it is within its quota, and does not confirm it")
+		t.Error("the holder is within its quota and does not confirm it")
 	}
 }
 
 func TestLeaseHolder_Spend_DoesNotAllocate(t *testing.T) {
 	now := time.Duration(0)
-	me := HolderID{"a", 1}
-	h := NewLeaseHolder(testRules(), me, now)
-	h.HandleGrant(now, Grant{To: me, Sequence: h.NextRequest(now).Sequence, Epoch: 1, Units: []int{9, 5}})
+	id := HolderID{"a", 1}
+	h := NewLeaseHolder(testRules(), id, now)
+	h.HandleGrant(now, Grant{To: id, Sequence: h.NextRequest(now).Sequence, Epoch: 1, Units: []int{9, 5}})
 	allocations := testing.AllocsPerRun(1000, func() {
 		now += 100 * time.Microsecond
 		h.Spend(now, 0, 1)
@@ -226,7 +227,7 @@
 	}
 }
 
-// settlingFleet is a fleet without faults, whose messages and entries take no time.
+// settlingFleet is a fleet without faults, in which messages and entries are delivered immediately.
 type settlingFleet struct {
 	rng       *rand.Rand
 	table     *Table
@@ -251,8 +252,8 @@
 	return f
 }
 
-// spentAfterSettling runs the fleet for a time until quotas have settled, and as long again, and returns what each
-// holder spent of the first budget in the second half.
+// spentAfterSettling runs the fleet for the settling time, in which quotas converge, and as long again, and returns
+// what each holder spent of the first budget in the second half.
 func (f *settlingFleet) spentAfterSettling(settling time.Duration) (spent []float64) {
 	spent = make([]float64, len(f.demands))
 	for now := time.Duration(0); now < 2*settling; now += tick {
@@ -285,7 +286,7 @@
 	f.allocator.ForgetRemoved()
 }
 
-// With uneven demand over nine tenths of the budget are used, where fixed quotas of 1/n would leave most of it idle.
+// With uneven demand, at least 90% of the budget is used, where fixed quotas of 1/n would leave most of it unused.
 func TestAllocator_QuotasFollowDemand(t *testing.T) {
 	const (
 		members  = 16
@@ -297,7 +298,9 @@
 		MaxClockDrift:     0.01,
 		MaxMembers:        members,
 		TransferThreshold: 1,
-		Budgets:           []Budget{{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8}},
+		Budgets: []Budget{
+			{Key: "parts/s", Kind: Rate, Units: units, Refill: time.Second, Base: 1, Reserve: 8},
+		},
 	}
 	demands := make([]float64, members)
 	usedByFixedQuotas := 0.0
@@ -313,7 +316,7 @@
 		used += spent / settling.Seconds()
 	}
 	if used < 0.9*units || used > 1.01*units || usedByFixedQuotas > 0.4*units {
-		t.Errorf("%.0f of %d a second are used, %.0f by fixed quotas", used, units, usedByFixedQuotas)
+		t.Errorf("%.0f of %d units per second are used, %.0f with fixed quotas", used, units, usedByFixedQuotas)
 	}
 }
 
--- a/internal/control/quota/table.go
+++ b/internal/control/quota/table.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Entry is a change of the Table, as a quorum commits it. An entry of a leader whose term is over changes nothing.
+// Entry is a change of the Table that a quorum commits. An entry that does not belong to the current term changes
+// nothing.
 type Entry struct {
 	Term   uint64 // of the leader that proposed it
 	Kind   EntryKind
@@ -11,21 +12,21 @@
 	Plan   []int    // PlanSet: units of each budget
 }
 
-// EntryKind says what an entry does.
+// EntryKind is the kind of change that an entry makes.
 type EntryKind int
 
 const (
-	// TermStarted begins a leader's term.
+	// TermStarted starts a leader's term.
 	TermStarted EntryKind = iota
-	// PlanSet gives a holder a new quota of each budget.
+	// PlanSet sets a holder's quota of each budget.
 	PlanSet
-	// PlanConfirmed notes that a holder spends within its plan: units that it had beyond it are free.
+	// PlanConfirmed records that a holder spends within its plan, which frees the units that it had beyond the plan.
 	PlanConfirmed
-	// HolderRemoved notes that nothing that a holder was granted can be spent any more.
+	// HolderRemoved removes a holder whose grants can no longer be spent, and frees its units.
 	HolderRemoved
 )
 
-// record is what is known of one holder.
+// record is the state of one holder.
 type record struct {
 	holder   HolderID
 	epoch    uint64 // of the entry that set the plan
@@ -33,23 +34,23 @@
 	maxSpend []int  // units that it may be spending by this or an earlier plan: at least the plan
 }
 
-// Table is what each holder may spend. All replicas apply the same entries in the same order and have the same
-// table. It never exceeds a budget: an entry that would do so changes nothing. It is not safe for concurrent use.
+// Table records what each holder may spend. All replicas apply the same entries in the same order, so their tables are
+// equal. It never exceeds a budget: an entry that would do so changes nothing. It is not safe for concurrent use.
 type Table struct {
-	rules     *Rules
-	term      uint64
-	epoch     uint64    // number of entries applied
-	records   []*record // in the order of their holders' ids
-	committed []int     // units of each budget that some holder may be spending
+	rules       *Rules
+	term        uint64
+	epoch       uint64    // number of entries applied
+	records     []*record // in the order of their holders' ids
+	outstanding []int     // units of each budget that some holder may be spending
 }
 
 // NewTable returns the table of a fleet without holders.
 func NewTable(rules *Rules) *Table {
-	return &Table{rules: rules, committed: make([]int, len(rules.Budgets))}
+	return &Table{rules: rules, outstanding: make([]int, len(rules.Budgets))}
 }
 
 // Outstanding returns the units of a budget, given by its index, that holders may be spending by leases.
-func (t *Table) Outstanding(budget int) int { return t.committed[budget] }
+func (t *Table) Outstanding(budget int) int { return t.outstanding[budget] }
 
 // Holders returns the holders in the order of their ids.
 func (t *Table) Holders() (ids []HolderID) {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// Apply takes a committed entry and reports whether it changed anything. Entries that change nothing advance the epoch,
-// too: epochs are positions in the replicated log.
+// Apply applies a committed entry and reports whether it changed anything. Entries that change nothing advance the
+// epoch, too, since epochs are positions in the replicated log.
 func (t *Table) Apply(entry Entry) bool {
 	t.epoch++
 	if entry.Kind == TermStarted {
@@ -94,9 +95,9 @@
 	return false
 }
 
-// setPlan gives a holder a plan, if no budget is exceeded even while it still spends by the plan before.
+// setPlan sets a holder's plan, unless a budget could be exceeded while the holder still spends by its previous plan.
 func (t *Table) setPlan(id HolderID, plan []int) bool {
-	if len(plan) != len(t.committed) {
+	if len(plan) != len(t.outstanding) {
 		return false
 	}
 	r := t.lookup(id)
@@ -107,13 +108,13 @@
 	maxSpend := slices.Clone(plan)
 	for b := range maxSpend {
 		maxSpend[b] = max(maxSpend[b], current[b])
-		committed := t.committed[b] + maxSpend[b] - current[b]
-		if plan[b] < 0 || committed > t.rules.leasableUnits(&t.rules.Budgets[b]) {
+		outstanding := t.outstanding[b] + maxSpend[b] - current[b]
+		if plan[b] < 0 || outstanding > t.rules.leasableUnits(&t.rules.Budgets[b]) {
 			return false
 		}
 	}
 	for b := range maxSpend {
-		t.committed[b] += maxSpend[b] - current[b]
+		t.outstanding[b] += maxSpend[b] - current[b]
 	}
 	if r == nil {
 		r = &record{holder: id}
@@ -133,7 +134,7 @@
 		return false
 	}
 	for b := range r.maxSpend {
-		t.committed[b] -= r.maxSpend[b] - r.plan[b]
+		t.outstanding[b] -= r.maxSpend[b] - r.plan[b]
 	}
 	r.maxSpend = r.plan
 	return true
@@ -146,7 +147,7 @@
 		return false
 	}
 	for b, units := range t.records[position].maxSpend {
-		t.committed[b] -= units
+		t.outstanding[b] -= units
 	}
 	t.records = slices.Delete(t.records, position, position+1)
 	return true
