--- a/internal/control/shardmap/bench_test.go
+++ b/internal/control/shardmap/bench_test.go
@@ -31,7 +31,7 @@
 	return m
 }
 
-// sortedSlice holds shards in the order of their ranges: the simple structure to compare with.
+// sortedSlice contains shards in the order of their ranges. It is the baseline for look-ups by key.
 type sortedSlice []*Shard
 
 func (s sortedSlice) lookup(key Key) *Shard {
@@ -43,7 +43,7 @@
 	return s[i]
 }
 
-// sliceAndMap returns the active shards in the simple structures to compare with.
+// sliceAndMap returns the active shards in the baseline structures: a sorted slice, and a Go map by id.
 func sliceAndMap(m *Map) (flat sortedSlice, byID map[ID]*Shard) {
 	byID = map[ID]*Shard{}
 	for s := range m.Active {
@@ -53,7 +53,7 @@
 	return flat, byID
 }
 
-// sink keeps the compiler from leaving out what is measured.
+// sink prevents the compiler from optimizing away the measured code.
 var sink *Shard
 
 // BenchmarkLookup measures look-ups by key in the tree and in a sorted slice, and by id in the tree and in a Go map.
@@ -81,8 +81,7 @@
 	}
 }
 
-// BenchmarkChange measures what an epoch that changes the weight of one shard costs in time, and in memory that it does
-// not share.
+// BenchmarkChange measures the time and the unshared memory of an epoch that changes the weight of one shard.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		m := largeMap(n)
@@ -115,7 +114,7 @@
 	}
 }
 
-// BenchmarkPin measures what pinning an epoch costs a query.
+// BenchmarkPin measures the cost for a query of pinning and releasing an epoch.
 func BenchmarkPin(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		vs := newViews(b, ViewOptions{MaxPinnedEpochs: 8, MaxPinnedAge: time.Minute, WarmupMinFraction: 1}, largeMap(n))
@@ -139,8 +138,8 @@
 	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
-// A map of a million shards is parsed, adopted, changed a hundred times, and dropped. This logs the times and the
-// memory that it takes: run it with -run Million -v and ROOKTRESTLE_LONG=1.
+// A map of a million shards is parsed, adopted and changed a hundred times, and the time and memory of each step are
+// logged. Run it with -run Million -v and ROOKTRESTLE_LONG=1.
 func TestMillionShards(t *testing.T) {
 	if !longRuns() {
 		t.Skip("long: set ROOKTRESTLE_LONG=1")
@@ -167,7 +166,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("the succession over a hundred epochs validated in %v", time.Since(start))
-	offerAgain(t, vs, current)
+	offerReparsed(t, vs, current)
 	runtime.KeepAlive(reparsed)
 }
 
@@ -191,7 +190,7 @@
 		}
 		offering += time.Since(offerStart)
 	}
-	t.Logf("100 changes in %v, of it %v to validate and adopt them; 100 epochs pinned: %.2f MB more",
+	t.Logf("100 changes in %v, %v of it to validate and adopt them; 100 epochs pinned: %.2f MB more",
 		time.Since(start), offering, heapMegabytes()-heapBefore)
 	for _, v := range pins {
 		vs.Release(v)
@@ -200,8 +199,8 @@
 	return m
 }
 
-// offerAgain parses the current map again and offers it, sharing memory with the current one.
-func offerAgain(t *testing.T, vs *Views, current *Map) {
+// offerReparsed encodes and parses the current map, and offers the result, which shares memory with the current one.
+func offerReparsed(t *testing.T, vs *Views, current *Map) {
 	t.Helper()
 	parsed, err := Parse(current.Encode())
 	if err != nil {
@@ -214,5 +213,5 @@
 	if adopted, err := vs.Offer(origin, shared); adopted || err != nil {
 		t.Fatal(adopted, err)
 	}
-	t.Logf("found to be the same in %v", time.Since(start))
+	t.Logf("recognized as unchanged in %v", time.Since(start))
 }
--- a/internal/control/shardmap/change.go
+++ b/internal/control/shardmap/change.go
@@ -2,70 +2,71 @@
 
 import "errors"
 
-// Change returns the map of the next epoch: shards are put in place of those with the same ids, and others removed. The
-// shards must not be changed afterwards. Change validates the whole map as New does, but looks only at what changes and
-// at its neighbours; the rest is shared with m.
+// Change returns the map of the next epoch, in which the shards of put are added or replace those with the same ids,
+// and others are removed. The shards must not be changed afterwards. The result is as valid as that of New, but only
+// the changed shards and their neighbors are checked; the remainder is shared with m.
 func (m *Map) Change(put []*Shard, remove []ID) (*Map, error) {
 	next := &Map{
-		Archive: m.Archive,
-		Epoch:   m.Epoch + 1,
-		NextID:  m.NextID,
-		cover:   m.cover,
-		all:     m.all,
-		weight:  m.weight,
+		Archive:      m.Archive,
+		Epoch:        m.Epoch + 1,
+		NextID:       m.NextID,
+		activeByFrom: m.activeByFrom,
+		byID:         m.byID,
+		weight:       m.weight,
 	}
 	for _, s := range put {
 		next.NextID = max(next.NextID, s.ID+1)
 	}
 	for _, id := range remove {
-		next.uncover(next.Shard(id))
-		next.all = next.all.Delete(id)
+		next.removeActive(next.Shard(id))
+		next.byID = next.byID.Delete(id)
 	}
-	for _, s := range put { // before any is inserted, as ranges may pass from one shard to another
-		next.uncover(next.Shard(s.ID))
+	for _, s := range put { // before any insertion, since keys may pass from one shard to another
+		next.removeActive(next.Shard(s.ID))
 	}
 	for _, s := range put {
 		if err := next.insert(s); err != nil {
 			return nil, err
 		}
 	}
-	if next.cover.Len() == 0 {
+	if next.activeByFrom.Len() == 0 {
 		return nil, errors.New("no block is active")
 	}
-	if err := next.checkChanged(m, put, remove); err != nil {
+	if err := next.checkChangedRanges(m, put, remove); err != nil {
 		return nil, err
 	}
 	return next, nil
 }
 
-// uncover takes a shard out of the cover. It is used on a map that nobody else has yet.
-func (m *Map) uncover(s *Shard) {
+// removeActive removes a shard from the active ones. It modifies m, which must not be in use elsewhere yet.
+func (m *Map) removeActive(s *Shard) {
 	if s != nil && s.Active() {
-		m.cover = m.cover.Delete(s.From)
+		m.activeByFrom = m.activeByFrom.Delete(s.From)
 		m.weight -= s.weight()
 	}
 }
 
-// insert adds a shard whose predecessor was uncovered. It is used on a map that nobody else has yet.
+// insert adds a shard, whose previous version removeActive must have removed. It modifies m, which must not be in use
+// elsewhere yet.
 func (m *Map) insert(shard *Shard) error {
 	if err := shard.validate(m.Epoch, m.NextID); err != nil {
 		return err
 	}
-	m.all = m.all.Set(shard.ID, shard)
+	m.byID = m.byID.Set(shard.ID, shard)
 	if !shard.Active() {
 		return nil
 	}
-	if existing, found := m.cover.Get(shard.From); found {
+	if existing, found := m.activeByFrom.Get(shard.From); found {
 		return overlapError(existing, shard)
 	}
-	m.cover = m.cover.Set(shard.From, shard)
+	m.activeByFrom = m.activeByFrom.Set(shard.From, shard)
 	m.weight += shard.weight()
 	return nil
 }
 
-// checkChanged checks the coverage of the keys where a shard was put or removed: there can be a gap or an overlap only
+// checkChangedRanges checks the coverage of keys at the shards that were put or removed: gaps and overlaps can only be
 // there.
-func (m *Map) checkChanged(old *Map, put []*Shard, remove []ID) error {
+func (m *Map) checkChangedRanges(old *Map, put []*Shard, remove []ID) error {
 	for _, s := range put {
 		if err := m.checkBoundaries(s); err != nil {
 			return err
@@ -82,14 +83,14 @@
 	return nil
 }
 
-// checkBoundaries checks that the keys at both ends of a shard's range are each in one active shard, and that the
-// active shards there adjoin their neighbours. A nil shard is valid.
+// checkBoundaries checks that the keys at both ends of a shard's range are each in one active shard that adjoins its
+// neighbors. A nil shard is valid.
 func (m *Map) checkBoundaries(shard *Shard) error {
 	if shard == nil {
 		return nil
 	}
 	for _, boundary := range []Key{shard.From, shard.To} {
-		_, covering, ok := m.cover.Floor(boundary)
+		_, covering, ok := m.activeByFrom.Floor(boundary)
 		if !ok {
 			return openBeginningError(boundary)
 		}
@@ -99,13 +100,13 @@
 		if err := m.checkNextShard(covering); err != nil {
 			return err
 		}
-		if _, previous, ok := m.cover.Below(covering.From); ok {
+		if _, previous, ok := m.activeByFrom.Below(covering.From); ok {
 			if err := m.checkNextShard(previous); err != nil {
 				return err
 			}
 		}
 	}
-	if _, last, _ := m.cover.Last(); last.To != "" {
+	if _, last, _ := m.activeByFrom.Last(); last.To != "" {
 		return openEndError(last.To)
 	}
 	return nil
@@ -114,7 +115,7 @@
 // checkNextShard checks that an active shard ends where the next begins.
 func (m *Map) checkNextShard(shard *Shard) error {
 	var next *Shard
-	m.cover.Ascend(shard.From, func(_ Key, other *Shard) bool {
+	m.activeByFrom.Ascend(shard.From, func(_ Key, other *Shard) bool {
 		if other != shard {
 			next = other
 		}
--- a/internal/control/shardmap/diff.go
+++ b/internal/control/shardmap/diff.go
@@ -2,19 +2,19 @@
 
 import "rooktrestle/internal/control/persistentmap"
 
-// ShardChange is what changed of one shard between two maps.
+// ShardChange describes how one shard differs between two maps.
 type ShardChange struct {
 	ID       ID       `json:"ID"`
-	Before   *Shard   `json:"Was"`      // before; nil: it is new
-	After    *Shard   `json:"Is"`       // after; nil: it was removed
-	Joined   []string `json:"Joined"`   // servers that have a replica and had none
-	Left     []string `json:"Left"`     // servers that had a replica and have none
-	Promoted []string `json:"Promoted"` // servers whose replica was joining, and serves
+	Before   *Shard   `json:"Was"`      // nil: the shard is new
+	After    *Shard   `json:"Is"`       // nil: the shard was removed
+	Joined   []string `json:"Joined"`   // servers with a replica after the change only
+	Left     []string `json:"Left"`     // servers with a replica before the change only
+	Promoted []string `json:"Promoted"` // servers whose replica was joining and now serves
 }
 
-// Diff returns what changed from one map to another, in the order of the shards' ids.
+// Diff returns the changes of shards from one map to another, in the order of their ids.
 func Diff(before, after *Map) (changes []ShardChange) {
-	persistentmap.Diff(before.all, after.all, func(d persistentmap.Difference[ID, *Shard]) bool {
+	persistentmap.Diff(before.byID, after.byID, func(d persistentmap.Difference[ID, *Shard]) bool {
 		switch {
 		case !d.InAfter:
 			changes = append(changes, ShardChange{ID: d.Key, Before: d.Before})
@@ -26,7 +26,7 @@
 	return changes
 }
 
-// changeOf compares a shard with what it was before, or nil.
+// changeOf returns the change of a shard; before is nil if it is new.
 func changeOf(before, after *Shard) ShardChange {
 	change := ShardChange{ID: after.ID, Before: before, After: after}
 	if before == nil {
--- a/internal/control/shardmap/file.go
+++ b/internal/control/shardmap/file.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// mapFile is the JSON text of a map in files and from sources:
+// mapFile is the JSON form of a map in files and from sources:
 //
 //	{"archive":"captions","epoch":7,"next_id":13,"blocks":[
 //	 {"id":1,"from":"","to":"news@2019","state":"serving","weight":3,"holders":[{"server":"n0"},{"server":"n1"}]}, ...]}
@@ -17,7 +17,7 @@
 	Shards  []*Shard `json:"blocks"`
 }
 
-// maxFileSize is the longest text of a map that is parsed, in bytes.
+// maxFileSize is the maximum size of a map's text, in bytes.
 const maxFileSize = 1 << 30
 
 // Parse parses the JSON text of a map and validates it as New does.
@@ -37,12 +37,12 @@
 	return New(file.Archive, file.Epoch, file.NextID, file.Shards)
 }
 
-// Encode returns the map's JSON text, as Parse reads it, with a line feed at its end. Equal maps have equal text.
+// Encode returns the map as JSON text for Parse, with a trailing line feed. Equal maps have equal texts.
 func (m *Map) Encode() []byte {
 	file := mapFile{Archive: m.Archive, Epoch: m.Epoch, NextID: m.NextID}
 	for s := range m.All {
 		file.Shards = append(file.Shards, s)
 	}
-	text, _ := json.Marshal(file) // a validated map has no value that JSON cannot express
+	text, _ := json.Marshal(file) // a valid map contains no value that JSON cannot express
 	return append(text, '\n')
 }
--- a/internal/control/shardmap/helpers_test.go
+++ b/internal/control/shardmap/helpers_test.go
@@ -30,7 +30,7 @@
 	return m
 }
 
-// changedMap returns a map some epochs later with shards edited by hand, without the checks of Change.
+// changedMap returns the map a number of epochs later, with shards changed by edit, without the checks of Change.
 func changedMap(t *testing.T, m *Map, epochs Epoch, edit func(map[ID]*Shard)) *Map {
 	t.Helper()
 	byID := map[ID]*Shard{}
@@ -53,7 +53,7 @@
 	return changed
 }
 
-// newViews returns Views with a first map.
+// newViews returns Views that have adopted a first map.
 func newViews(t testing.TB, options ViewOptions, first *Map) *Views {
 	t.Helper()
 	vs, err := NewViews(options)
@@ -64,7 +64,7 @@
 	return vs
 }
 
-// mustOffer offers a map that has to be adopted.
+// mustOffer offers a map, and fails the test unless it is adopted.
 func mustOffer(t testing.TB, vs *Views, now time.Time, m *Map) {
 	t.Helper()
 	if adopted, err := vs.Offer(now, m); err != nil || !adopted {
--- a/internal/control/shardmap/interleavings_test.go
+++ b/internal/control/shardmap/interleavings_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// The tests of this file search exhaustively through one change of shards with one correction, which must not run
-// twice, and one search: every order in which nodes learn of an epoch, it is published and adopted (epochs may be
-// skipped), and parts are sent, arrive, are answered, lose their answers or find no connection. Waits of the plan
-// are left out on purpose: safety must not depend on them. The nodes are modelled here; the maps, the plan's steps
-// and the decisions after rejections are the real ones.
+// The tests of this file explore all states of one change of shards with one correction, which must not run twice, and
+// one search. Nodes may receive an epoch, and it may be published and adopted (epochs may be skipped), and parts may be
+// sent, arrive, be answered, lose their answers or fail to connect, all in any order. The waits of the plan are left
+// out, since safety must not depend on them. The nodes are a model; the maps, the plan's steps and the decisions after
+// rejections are those of the package.
 
 // queryKind is one of the two queries of the model.
 type queryKind int
@@ -21,7 +21,7 @@
 	search
 )
 
-// outcome is how a query ended.
+// outcome is how a query completed.
 type outcome byte
 
 const (
@@ -35,7 +35,7 @@
 	return [...]string{"unfinished", "complete", "failed", "rejected"}[o]
 }
 
-// phase is where the attempt in flight of a part is.
+// phase is the progress of a part's attempt in flight.
 type phase byte
 
 const (
@@ -65,9 +65,9 @@
 	parts    []partState
 }
 
-// systemState is a state of the whole model. Maps are given by their indices.
+// systemState is a state of the complete model. Maps are identified by their indices.
 type systemState struct {
-	known          [4]int // newest map that each node knows
+	received       [4]int // newest map that each node has received
 	published      int
 	adopted        int // by the aggregator
 	correctionRuns int // how often the correction ran at a node
@@ -81,11 +81,11 @@
 	return s
 }
 
-// key identifies a state: two states with the same key are the same.
+// key identifies a state: states with equal keys are equal.
 func (s *systemState) key() string {
 	b := make([]byte, 0, 64)
-	for _, known := range s.known {
-		b = append(b, byte(known))
+	for _, received := range s.received {
+		b = append(b, byte(received))
 	}
 	b = append(b, byte(s.published), byte(s.adopted), byte(s.correctionRuns))
 	for i := range s.queries {
@@ -108,7 +108,7 @@
 	return bits
 }
 
-// explorer visits all states that can be reached.
+// explorer visits all reachable states.
 type explorer struct {
 	t           *testing.T
 	maps        []*Map
@@ -116,7 +116,7 @@
 	key         Key // of the correction
 	maxAttempts [2]uint8
 	visited     map[string]bool
-	outcomes    map[[2]outcome]int // states in which both queries have ended
+	outcomes    map[[2]outcome]int // number of states in which both queries have completed
 	stack       []systemState      // to be visited
 }
 
@@ -131,9 +131,9 @@
 		}
 		x.visited[key] = true
 		x.checkInvariants(&s)
-		ends := [2]outcome{s.queries[correction].outcome, s.queries[search].outcome}
-		if ends[correction] != unfinished && ends[search] != unfinished {
-			x.outcomes[ends]++
+		outcomes := [2]outcome{s.queries[correction].outcome, s.queries[search].outcome}
+		if outcomes[correction] != unfinished && outcomes[search] != unfinished {
+			x.outcomes[outcomes]++
 		}
 		x.mapTransitions(s)
 		x.queryTransitions(s, correction)
@@ -141,34 +141,34 @@
 	}
 }
 
-// push adds a state that differs from s by an edit.
+// push adds the state that an edit makes of s.
 func (x *explorer) push(s systemState, edit func(*systemState)) {
 	next := s.clone()
 	edit(&next)
 	x.stack = append(x.stack, next)
 }
 
-// mapTransitions lets the nodes and the aggregator learn of epochs. A node learns the epoch after the published
-// one; once all know it, it is published.
+// mapTransitions has nodes receive an epoch, publishes it or has the aggregator adopt it. A node receives the epoch
+// after the published one; once all have received it, it is published.
 func (x *explorer) mapTransitions(s systemState) {
 	if s.published+1 < len(x.maps) {
-		allKnow := true
+		allReceived := true
 		for i := range x.servers {
-			if s.known[i] <= s.published {
-				allKnow = false
-				x.push(s, func(n *systemState) { n.known[i] = n.published + 1 })
+			if s.received[i] <= s.published {
+				allReceived = false
+				x.push(s, func(n *systemState) { n.received[i] = n.published + 1 })
 			}
 		}
-		if allKnow {
+		if allReceived {
 			x.push(s, func(n *systemState) { n.published++ })
 		}
 	}
-	if s.adopted < s.published { // epochs in between are never seen
+	if s.adopted < s.published { // epochs in between are skipped
 		x.push(s, func(n *systemState) { n.adopted = n.published })
 	}
 }
 
-// queryTransitions lets a query start, each of its parts go on, or the query end.
+// queryTransitions has a query start, each of its parts proceed, or the query complete.
 func (x *explorer) queryTransitions(s systemState, kind queryKind) {
 	q := &s.queries[kind]
 	if q.outcome != unfinished {
@@ -186,12 +186,13 @@
 	if inFlight {
 		return
 	}
-	if end := x.end(q, kind); end != unfinished {
-		x.push(s, func(n *systemState) { n.queries[kind].outcome = end })
+	if result := x.outcomeOf(q, kind); result != unfinished {
+		x.push(s, func(n *systemState) { n.queries[kind].outcome = result })
 	}
 }
 
-// partTransitions lets a part, given by its index, be sent, arrive, be answered, lose its answer or be rejected.
+// partTransitions has a part, given by its index, be sent, fail to connect, arrive, be answered, lose its answer or be
+// rejected.
 func (x *explorer) partTransitions(s systemState, kind queryKind, part int) {
 	p := &s.queries[kind].parts[part]
 	push := func(edit func(*partState)) {
@@ -220,7 +221,7 @@
 			p.answered = true
 			p.server = noServer
 		})
-		push(func(p *partState) { // a reset or a time-out
+		push(func(p *partState) { // reset or timed out
 			p.mayHaveRun = true
 			p.server = noServer
 		})
@@ -229,7 +230,7 @@
 	}
 }
 
-// arrive has a part arrive at its server, which runs or rejects it.
+// arrive delivers a part to its server, which runs or rejects it.
 func (x *explorer) arrive(s *systemState, kind queryKind, part int) {
 	p := &s.queries[kind].parts[part]
 	if serves, _ := x.serves(s, int(p.server), p.shard); !serves {
@@ -242,7 +243,7 @@
 	}
 }
 
-// reject has the rejection of a part arrive at the aggregator, which drops the server and may restart the query.
+// reject delivers the rejection of a part to the aggregator, which drops the server and may restart the query.
 func (x *explorer) reject(s *systemState, kind queryKind, part int) {
 	q := &s.queries[kind]
 	p := &q.parts[part]
@@ -258,15 +259,15 @@
 	}
 	inFlight := slices.ContainsFunc(q.parts, func(p partState) bool { return p.server != noServer })
 	if kind == correction && (q.parts[0].mayHaveRun || q.parts[0].answered || inFlight) {
-		x.t.Fatalf("a correction that may have run restarts: %+v", *s)
+		x.t.Fatalf("a correction that may have run is restarted: %+v", *s)
 	}
-	// Attempts of a search that are in flight are cancelled first, and have no effect any more; a correction has none.
+	// Attempts of a search that are in flight are canceled first and have no further effect; a correction has none.
 	q.restarts++
 	x.pin(s, kind)
 }
 
-// end returns how a query without attempts in flight ends now, or unfinished if it can go on.
-func (x *explorer) end(q *queryState, kind queryKind) outcome {
+// outcomeOf returns the outcome of a query without attempts in flight, or unfinished if it can proceed.
+func (x *explorer) outcomeOf(q *queryState, kind queryKind) outcome {
 	allAnswered := true
 	stuck := false
 	for _, p := range q.parts {
@@ -309,14 +310,14 @@
 	return p
 }
 
-// serves reports whether a node serves a shard by the newest map that it knows, and that map's epoch.
+// serves reports whether a node serves a shard by the newest map that it has received, and that map's epoch.
 func (x *explorer) serves(s *systemState, server int, id ID) (bool, Epoch) {
-	m := x.maps[s.known[server]]
+	m := x.maps[s.received[server]]
 	shard := m.Shard(id)
 	return shard != nil && shard.ServedBy(x.servers[server]), m.Epoch
 }
 
-// decide takes the real decision after a rejection.
+// decide returns the decision of QueryPlacement after a rejection.
 func (x *explorer) decide(s *systemState, kind queryKind, part, server int, epoch Epoch) Decision {
 	q := &s.queries[kind]
 	vs := &Views{
@@ -346,15 +347,15 @@
 	})
 }
 
-// checkInvariants fails the test if a state is wrong: the correction runs at most once, its outcome says whether it
-// ran, and a complete search has every key in exactly one shard of one view.
+// checkInvariants fails the test if a state violates an invariant: the correction runs at most once, its outcome
+// reports whether it ran, and a complete search has every key in exactly one shard of one view.
 func (x *explorer) checkInvariants(s *systemState) {
 	if s.correctionRuns > 1 {
 		x.t.Fatalf("the correction ran %d times: %+v", s.correctionRuns, *s)
 	}
-	end := s.queries[correction].outcome
-	if end == complete && s.correctionRuns != 1 || end == rejected && s.correctionRuns != 0 {
-		x.t.Fatalf("the correction is %s, and ran %d times: %+v", end, s.correctionRuns, *s)
+	result := s.queries[correction].outcome
+	if result == complete && s.correctionRuns != 1 || result == rejected && s.correctionRuns != 0 {
+		x.t.Fatalf("the correction is %s and ran %d times: %+v", result, s.correctionRuns, *s)
 	}
 	q := &s.queries[search]
 	if q.outcome != complete {
@@ -367,11 +368,11 @@
 	}
 	slices.SortFunc(answered, func(a, b *Shard) int { return cmp.Compare(a.From, b.From) })
 	if err := checkCoverage(answered); err != nil || len(answered) != m.ActiveCount() {
-		x.t.Fatalf("a complete answer from shards that do not cover the archive once: %v: %+v", err, *s)
+		x.t.Fatalf("a complete answer from shards that do not cover each key exactly once: %v: %+v", err, *s)
 	}
 }
 
-// longRuns reports whether long runs are wanted.
+// longRuns reports whether long tests are enabled.
 func longRuns() bool { return os.Getenv("ROOKTRESTLE_LONG") != "" }
 
 // mapOnFirstServers returns a map of shards that the servers a and b serve.
@@ -388,7 +389,7 @@
 	return m
 }
 
-// mapsOfPlan returns a map and those that the steps of a plan lead to.
+// mapsOfPlan returns a map and the maps after each step of a plan.
 func mapsOfPlan(t *testing.T, first *Map, plan *Plan) []*Map {
 	t.Helper()
 	maps := []*Map{first}
@@ -402,8 +403,9 @@
 	return maps
 }
 
-// All interleavings of one migration, split or merge with one correction and one search. If ROOKTRESTLE_LONG is
-// set, each part of the search has two attempts, else one.
+// A correction runs at most once, and a complete search covers each key once, in all interleavings of one migration,
+// split or merge with one correction and one search. If ROOKTRESTLE_LONG is set, each part of the search has two
+// attempts, else one.
 func TestInterleavings_QueriesAreCorrect(t *testing.T) {
 	oneShard := mapOnFirstServers(t, &Shard{ID: 1})
 	twoShards := mapOnFirstServers(t, &Shard{ID: 1, To: "m@2000"}, &Shard{ID: 2, From: "m@2000"})
@@ -454,11 +456,11 @@
 				outcomes:    map[[2]outcome]int{},
 			}
 			x.run()
-			t.Logf("%d states visited; ends (correction and search): %v", len(x.visited), x.outcomes)
+			t.Logf("%d states visited; outcomes (correction, search): %v", len(x.visited), x.outcomes)
 			bothComplete := x.outcomes[[2]outcome{complete, complete}]
 			searchComplete := x.outcomes[[2]outcome{rejected, complete}]
 			if len(x.visited) < 1000 || bothComplete == 0 || searchComplete == 0 {
-				t.Errorf("%d states, ends %v", len(x.visited), x.outcomes)
+				t.Errorf("only %d states visited, or outcomes are missing: %v", len(x.visited), x.outcomes)
 			}
 		})
 	}
--- a/internal/control/shardmap/key.go
+++ b/internal/control/shardmap/key.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Key places a record in the order of an archive: its programme, then the year of its broadcast, as "programme@year".
-// Keys are ordered as text. The empty Key is the beginning of all keys and, as the end of a range, the end of all.
+// Key is the position of a record in an archive: its programme and the year of its broadcast, as "programme@year". Keys
+// are ordered as strings. The empty Key comes before all others; as the end of a range it means that there is no end.
 type Key string
 
-// yearDigits is the width of a year in a key, and maxYear the latest year that has as many digits.
+// yearDigits is the number of digits of a year in a key, and maxYear the latest year that has no more.
 const (
 	yearDigits = 4
 	maxYear    = 9999
 )
 
 // MakeKey returns the key of a programme and a year from 0 to 9999. The programme must not be empty and must not
-// contain @, : or white space.
+// contain @, :, NUL or white space.
 func MakeKey(programme string, year int) (Key, error) {
 	validProgramme := programme != "" && !strings.ContainsAny(programme, "@:\x00 \t\r\n")
 	if !validProgramme || year < 0 || year > maxYear {
@@ -27,7 +27,7 @@
 	return Key(fmt.Sprintf("%s@%0*d", programme, yearDigits, year)), nil
 }
 
-// ParseKey parses "programme@year". The empty text is the empty Key: the beginning or the end of all keys.
+// ParseKey parses "programme@year". The empty text is the empty Key.
 func ParseKey(text string) (Key, error) {
 	if text == "" {
 		return "", nil
@@ -39,8 +39,8 @@
 	return "", fmt.Errorf("key %q: not programme@year", text)
 }
 
-// KeyOf returns the key in a record's identifier, "programme@year:number". The text of an identifier of any other form
-// is a key itself, so that every record has a place.
+// KeyOf returns the key in a record's identifier, "programme@year:number". An identifier of any other form is itself
+// used as the key, so that every record belongs to a shard.
 func KeyOf(record string) Key {
 	head, _, _ := strings.Cut(record, ":")
 	if key, err := ParseKey(head); err == nil && key != "" {
--- a/internal/control/shardmap/map.go
+++ b/internal/control/shardmap/map.go
@@ -9,30 +9,30 @@
 	"rooktrestle/internal/control/persistentmap"
 )
 
-// Map is the assignment of shards in one epoch. It never changes, and shares memory with the maps of neighbouring
-// epochs where they are alike. Any number of goroutines may read one.
+// Map is the assignment of shards to servers in one epoch. It is immutable and safe for concurrent use. Maps of
+// successive epochs share the memory of unchanged shards.
 type Map struct {
-	Archive string // maps of different archives never follow one another
+	Archive string // a map never succeeds one of another archive
 	Epoch   Epoch
-	NextID  ID // ids from here on were never given out
+	NextID  ID // ids from this one on were never assigned
 
-	cover  persistentmap.Map[Key, *Shard] // active shards, by the beginnings of their ranges
-	all    persistentmap.Map[ID, *Shard]  // all shards, retiring ones included
-	weight float64                        // of the cover
+	activeByFrom persistentmap.Map[Key, *Shard] // active shards, by the first keys of their ranges
+	byID         persistentmap.Map[ID, *Shard]  // all shards, including retiring ones
+	weight       float64                        // sum of the active shards' weights
 }
 
 // ActiveCount returns the number of active shards.
-func (m *Map) ActiveCount() int { return m.cover.Len() }
+func (m *Map) ActiveCount() int { return m.activeByFrom.Len() }
 
-// TotalCount returns the number of shards, retiring ones included.
-func (m *Map) TotalCount() int { return m.all.Len() }
+// TotalCount returns the number of shards, including retiring ones.
+func (m *Map) TotalCount() int { return m.byID.Len() }
 
 // Weight returns the sum of the active shards' weights.
 func (m *Map) Weight() float64 { return m.weight }
 
 // Lookup returns the active shard that contains a key.
 func (m *Map) Lookup(key Key) *Shard {
-	_, shard, ok := m.cover.Floor(key)
+	_, shard, ok := m.activeByFrom.Floor(key)
 	if !ok {
 		return nil
 	}
@@ -41,23 +41,23 @@
 
 // Shard returns the shard with an id, retiring or not; nil if there is none.
 func (m *Map) Shard(id ID) *Shard {
-	shard, _ := m.all.Get(id)
+	shard, _ := m.byID.Get(id)
 	return shard
 }
 
 // Active calls yield for each active shard in the order of their ranges, until it returns false.
 func (m *Map) Active(yield func(*Shard) bool) {
-	m.cover.All(func(_ Key, s *Shard) bool { return yield(s) })
+	m.activeByFrom.All(func(_ Key, s *Shard) bool { return yield(s) })
 }
 
 // All calls yield for each shard in the order of their ids, until it returns false.
 func (m *Map) All(yield func(*Shard) bool) {
-	m.all.All(func(_ ID, s *Shard) bool { return yield(s) })
+	m.byID.All(func(_ ID, s *Shard) bool { return yield(s) })
 }
 
-// New returns a map of shards, which must not be changed afterwards. It returns an error if they are not a valid
-// map: if keys are in no shard or in two active ones, or a shard has no serving replica. Whether the map may follow
-// another is checked by ValidateSuccession.
+// New returns a map of shards, which must not be changed afterwards. It returns an error if the map is invalid: for
+// example if a key is in no active shard or in two, or if a shard has no serving replica. ValidateSuccession checks
+// whether the map may follow another.
 func New(archive string, epoch Epoch, next ID, shards []*Shard) (*Map, error) {
 	if archive == "" || epoch == 0 {
 		return nil, errors.New("a map needs an archive's name and an epoch over 0")
@@ -88,8 +88,8 @@
 		keys = append(keys, s.From)
 		m.weight += s.weight()
 	}
-	m.cover = persistentmap.Build(keys, active)
-	m.all = persistentmap.Build(ids, byID)
+	m.activeByFrom = persistentmap.Build(keys, active)
+	m.byID = persistentmap.Build(ids, byID)
 	return m, nil
 }
 
--- a/internal/control/shardmap/mismatch.go
+++ b/internal/control/shardmap/mismatch.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// Mismatch is why a server rejected a part because of its map. A part that was rejected in this way never ran.
+// Mismatch is the reason why a server rejected a part if, by its map, it does not serve the shard. Such a part never
+// ran.
 type Mismatch int
 
 const (
-	// NoMismatch means that the map was not the reason.
+	// NoMismatch means that the part was not rejected because of the map.
 	NoMismatch Mismatch = iota
-	// NoLongerServed means that the server does not hold the shard any more, since an epoch.
+	// NoLongerServed means that the server has not served the shard since an epoch.
 	NoLongerServed
-	// NotYetServed means that the server will hold the shard from an epoch on.
+	// NotYetServed means that the server will serve the shard from an epoch on.
 	NotYetServed
 )
 
--- a/internal/control/shardmap/placement.go
+++ b/internal/control/shardmap/placement.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Part is a part of a query, as the query's pinned view places it.
+// Part is the state of a part of a query on the query's pinned view.
 type Part struct {
 	Shard      ID
-	Servers    []string // that may still be sent the part
+	Servers    []string // to which the part may still be sent
 	MayHaveRun bool     // an attempt that has ended may have run
 	InFlight   bool     // an attempt is in flight, and may run
 	Answered   bool
@@ -13,8 +13,8 @@
 
 func (p *Part) possiblyRan() bool { return p.MayHaveRun || p.InFlight || p.Answered }
 
-// QueryPlacement is one query on its view. It decides whether the query's parts may be placed again on a newer map; the
-// choice among the servers of a part is made elsewhere. It is owned by the goroutine that owns the Views.
+// QueryPlacement is the state of one query on its pinned view. It decides whether the query may be restarted on a newer
+// map; it does not choose among the servers of a part. It is owned by the goroutine that owns the Views.
 type QueryPlacement struct {
 	View       *View
 	Idempotent bool // every part may run twice
@@ -23,21 +23,21 @@
 	SecondStep bool // it is the second step of a query, and has to stay on the view of the first
 }
 
-// MaxRestarts is how often a query is restarted on a newer view. This protects a client's time and the servers from
-// a map that changes all the time.
+// MaxRestarts is the maximum number of restarts of a query on a newer view. It limits the delay for the client and the
+// load on the servers if the map changes frequently.
 const MaxRestarts = 3
 
-// Decision is what becomes of a part, or of a query, after a rejection. The zero value ends the query, unless the part
-// has servers left.
+// Decision is how a part or its query proceeds after a rejection. With the zero value the query cannot proceed, unless
+// the part has servers left.
 type Decision struct {
 	DropServer     bool // the server was removed from the servers of the part
-	RequestMap     bool // the source should be requested for a newer map
-	FalseRejection bool // the rejection contradicts a map that the server must know
+	RequestMap     bool // a newer map should be requested from the source
+	FalseRejection bool // the rejection contradicts a map that the server must have received
 	Restart        bool // the query restarts on the current view
-	AwaitMap       bool // the query waits for a newer map, which may be on its way
+	AwaitMap       bool // the query waits for a newer map, which may arrive soon
 }
 
-// QueryContinues reports whether the query restarts, now or once there is a newer map.
+// QueryContinues reports whether the query restarts, now or once a newer map is adopted.
 func (d Decision) QueryContinues() bool { return d.Restart || d.AwaitMap }
 
 // Rejection is a server's rejection of a part because of its map.
@@ -49,7 +49,7 @@
 	RequestMap bool  // what Views.ObserveEpoch returned for that epoch
 }
 
-// Rejected decides on a part after its rejection. The server is removed from those that may be sent the part.
+// Rejected handles the rejection of a part. The server is removed from those to which the part may be sent.
 func (q *QueryPlacement) Rejected(views *Views, rejection Rejection) Decision {
 	part := &q.Parts[rejection.Part]
 	decision := Decision{
@@ -61,7 +61,7 @@
 		decision.DropServer = true
 	}
 	if len(part.Servers) > 0 || part.Answered {
-		return decision // others may be sent the part
+		return decision // another server may be sent the part, or it was answered
 	}
 	next := q.ViewUnusable(views)
 	decision.Restart = next.Restart
@@ -69,8 +69,8 @@
 	return decision
 }
 
-// contradicts reports whether a rejection is wrong by a map that its sender must know: it names an epoch that is
-// not newer than the current map, by which the server serves the shard all the same.
+// contradicts reports whether the current map, which the server must have received, contradicts a rejection: the epoch
+// that the rejection names is not newer than the current one, and the server does serve the shard by the current map.
 func (vs *Views) contradicts(id ID, rejection Rejection) bool {
 	current := vs.Current()
 	if current == nil || rejection.Epoch > current.Epoch || rejection.Mismatch == NoMismatch {
@@ -80,8 +80,8 @@
 	return shard != nil && shard.Active() && shard.ServedBy(rejection.Server)
 }
 
-// ViewUnusable decides on a query that has to leave its view, or that has a part without servers left: it may
-// restart on the current view, or on a newer one. A part that may have run must not run at another replica unless
+// ViewUnusable decides how a query proceeds that has to leave its view, or has a part without servers left: it may
+// restart on the current view or wait for a newer one. A part that may have run must not run at another replica unless
 // the query is idempotent, and a second step cannot change its view.
 func (q *QueryPlacement) ViewUnusable(views *Views) Decision {
 	if q.SecondStep || q.Restarts >= MaxRestarts || !q.restartIsSafe() {
--- a/internal/control/shardmap/placement_test.go
+++ b/internal/control/shardmap/placement_test.go
@@ -37,12 +37,12 @@
 	q = placement()
 	q.Idempotent = true
 	if d := reject(q, "a", 1); !d.FalseRejection || d.RequestMap {
-		t.Errorf("the server holds the shard by the map that it names: %+v", d)
+		t.Errorf("the server serves the shard by the map that it names: %+v", d)
 	}
 }
 
-// A query restarts on a newer map, unless a part that must not run twice may have run, it is a second step, it was
-// restarted too often, or another server is left.
+// A query restarts on a newer map, unless a part that must not run twice may have run, the query is a second step, it
+// was restarted too often, or another server is left.
 func TestQueryPlacement_Rejected_WithANewerMap(t *testing.T) {
 	first := threeShards(t)
 	vs := newViews(t, placementOptions, first)
@@ -64,7 +64,7 @@
 			query:   QueryPlacement{Parts: []Part{{Shard: 2, MayHaveRun: true}}},
 			restart: false,
 		},
-		"another part has run": {
+		"another part was answered": {
 			query:   QueryPlacement{Parts: []Part{{Shard: 2}, {Shard: 3, Answered: true}}},
 			restart: false,
 		},
--- a/internal/control/shardmap/plan_test.go
+++ b/internal/control/shardmap/plan_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// planRun carries out random plans at the same time, and checks every epoch.
+// planRun carries out random plans whose steps interleave, and checks every epoch.
 type planRun struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -21,10 +21,10 @@
 
 type runningPlan struct {
 	plan *Plan
-	done int // steps
+	done int // number of steps
 }
 
-// Plans reach their ends by legal steps, whatever other plans do in between, and the steps done are found in the map.
+// Plans complete by legal steps, whatever other plans do in between, and the map shows how many steps are done.
 func FuzzPlans(f *testing.F) {
 	f.Add(uint64(1), uint16(60))
 	f.Add(uint64(5), uint16(300))
@@ -42,7 +42,7 @@
 	})
 }
 
-// step begins a random plan, or carries out the next step of one that has begun.
+// step starts a random plan, or carries out the next step of a running one.
 func (run *planRun) step() {
 	var ids []ID
 	for s := range run.m.Active {
@@ -83,12 +83,12 @@
 	return keys
 }
 
-// start carries out the first step of a plan, if there is one. Without it two plans for one shard could be made, or one
-// that does nothing.
+// start carries out the first step of a plan, if there is one. If that were delayed, two plans for one shard could be
+// made, or one that changes nothing.
 func (run *planRun) start(plan *Plan, err error) {
 	run.t.Helper()
 	if err != nil {
-		return // the shard cannot be changed in this way now
+		return // the shard cannot currently be changed in this way
 	}
 	next, err := plan.Steps[0].Apply(run.m)
 	if err != nil {
@@ -120,27 +120,27 @@
 	run.m = next
 	r.done++
 	if found := r.plan.StepsDone(run.m); found != r.done {
-		run.t.Fatalf("%s: %d steps are done, and %d are found", step, r.done, found)
+		run.t.Fatalf("%s: %d steps are done, but StepsDone returns %d", step, r.done, found)
 	}
 	if r.done == len(r.plan.Steps) {
 		run.running = slices.Delete(run.running, i, i+1)
 	}
 }
 
-// checkReparsed checks that a map made by a change equals the one that a source brings: parsed from its text, and
+// checkReparsed checks that a map made by Change equals the same map from a source: parsed from its text, and then
 // sharing memory with the current map.
 func (run *planRun) checkReparsed(step string, next *Map) {
 	run.t.Helper()
 	parsed, err := Parse(next.Encode())
 	if err != nil || !parsed.sameShards(next) || parsed.ActiveCount() != next.ActiveCount() ||
 		math.IsNaN(parsed.weight) {
-		run.t.Fatalf("%s: parsed, it is another: %v", step, err)
+		run.t.Fatalf("%s: the parsed map differs: %v", step, err)
 	}
 	shared := parsed.ShareWith(run.m)
 	same := shared.sameShards(next) && next.sameShards(shared) && shared.ActiveCount() == next.ActiveCount()
 	if !same || shared.ValidateSuccession(run.m) != nil ||
 		!slices.EqualFunc((&View{Map: shared}).Shards(), (&View{Map: next}).Shards(), (*Shard).equal) {
-		run.t.Fatalf("%s: shared, it is another", step)
+		run.t.Fatalf("%s: the map that shares memory differs", step)
 	}
 }
 
--- a/internal/control/shardmap/planning.go
+++ b/internal/control/shardmap/planning.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Timing is what plans wait for.
+// Timing contains the times that the waits of plans are derived from.
 type Timing struct {
 	MapPropagation time.Duration // until every aggregator has adopted an epoch
 	MaxQueryTime   time.Duration // the longest deadline of a query: after it no query is pinned to an older epoch
 }
 
-// PlanMigration plans that a shard is held by exactly these servers: new ones copy it, then serve it together with the
-// old ones, and then those that are not named leave.
+// PlanMigration plans the migration of a shard to exactly these servers: new ones copy it, then serve it together with
+// the old ones, and finally those that are not named are removed.
 func PlanMigration(current *Map, id ID, servers []string, timing Timing) (*Plan, error) {
 	shard, err := servingShard(current, id)
 	if err != nil {
@@ -37,36 +37,36 @@
 		Put:         []*Shard{&copying},
 		Description: fmt.Sprintf("block %d is moving; %s join and copy", id, names),
 	}}
-	together := copying
+	combined := copying
 	if len(joining) > 0 {
-		together.Replicas = promoteJoining(copying.Replicas, current.Epoch+2)
+		combined.Replicas = promoteJoining(copying.Replicas, current.Epoch+2)
 		steps = append(steps, Step{
-			Put:         []*Shard{&together},
+			Put:         []*Shard{&combined},
 			Description: names + " serve, too",
 			AwaitCopies: true,
 			WaitReason:  "whoever serves has to have all of the block",
 		})
 	}
-	steps = append(steps, leaveStep(shard, &together, servers, timing))
+	steps = append(steps, removalStep(shard, &combined, servers, timing))
 	return newPlan(current, fmt.Sprintf("move block %d %s to %v", id, shard.Range(), servers), steps...), nil
 }
 
-// leaveStep is the last step of a migration: only the named servers remain of those that hold the shard together.
-// before is the shard before the migration.
-func leaveStep(before, together *Shard, servers []string, timing Timing) Step {
-	done := *together
-	done.State = Serving
-	done.Replicas = nil
+// removalStep returns the last step of a migration, after which only the named servers have a replica. before is the
+// shard before the migration, and combined the shard while old and new servers serve it together.
+func removalStep(before, combined *Shard, servers []string, timing Timing) Step {
+	final := *combined
+	final.State = Serving
+	final.Replicas = nil
 	anyStays := false
-	for _, replica := range together.Replicas {
+	for _, replica := range combined.Replicas {
 		if slices.Contains(servers, replica.Server) {
-			done.Replicas = append(done.Replicas, replica)
+			final.Replicas = append(final.Replicas, replica)
 			anyStays = anyStays || before.ServedBy(replica.Server)
 		}
 	}
 	step := Step{
-		Put:             []*Shard{&done},
-		Description:     fmt.Sprintf("block %d is held by %v", done.ID, servers),
+		Put:             []*Shard{&final},
+		Description:     fmt.Sprintf("block %d is held by %v", final.ID, servers),
 		MinWait:         timing.MapPropagation,
 		AwaitEpochKnown: true,
 		WaitReason:      "every mixer has to know the new holders before the old ones turn parts away",
@@ -77,7 +77,7 @@
 	return step
 }
 
-// newPlan returns a plan for the current map.
+// newPlan returns a plan that starts from the current map.
 func newPlan(current *Map, description string, steps ...Step) *Plan {
 	return &Plan{
 		Archive:     current.Archive,
@@ -103,7 +103,7 @@
 	return joining, nil
 }
 
-// promoteJoining returns replicas of which those that were joining serve since an epoch.
+// promoteJoining returns a copy of replicas in which the joining ones serve since an epoch.
 func promoteJoining(replicas []Replica, since Epoch) []Replica {
 	promoted := slices.Clone(replicas)
 	for i, r := range promoted {
@@ -114,7 +114,7 @@
 	return promoted
 }
 
-// PlanSplit plans that a shard is split at keys, which have to be in ascending order.
+// PlanSplit plans the split of a shard at boundaries, which must be in ascending order.
 func PlanSplit(current *Map, id ID, boundaries []Key, timing Timing) (*Plan, error) {
 	shard, err := servingShard(current, id)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return newPlan(current, description, announce, replace, remove), nil
 }
 
-// splitShard returns the shards into which keys split a shard, with ids from next on.
+// splitShard returns the shards into which boundaries split a shard, with ids from next on.
 func splitShard(shard *Shard, boundaries []Key, next ID) (pieces []*Shard, err error) {
 	if len(boundaries) == 0 {
 		return nil, fmt.Errorf("block %d: no key to cut at", shard.ID)
@@ -173,7 +173,7 @@
 	return pieces, nil
 }
 
-// PlanMerge plans that neighbouring shards become one. They need to have the same servers.
+// PlanMerge plans the merge of adjacent shards into one. They must have the same servers.
 func PlanMerge(current *Map, ids []ID, timing Timing) (*Plan, error) {
 	shards, err := mergeableShards(current, ids)
 	if err != nil {
@@ -207,7 +207,7 @@
 	return newPlan(current, fmt.Sprintf("merge blocks %v", ids), announce, replace, remove), nil
 }
 
-// mergeShards returns the shard that takes the place of neighbouring ones, which are in the order of their ranges.
+// mergeShards returns the shard that replaces adjacent ones, which are in the order of their ranges.
 func mergeShards(shards []*Shard, id ID) *Shard {
 	first := shards[0]
 	last := shards[len(shards)-1]
@@ -252,7 +252,7 @@
 	return shards, nil
 }
 
-// servingShard returns a shard of which no change is under way.
+// servingShard returns a shard, or an error if it does not exist or is already being changed.
 func servingShard(current *Map, id ID) (*Shard, error) {
 	s := current.Shard(id)
 	switch {
@@ -264,7 +264,7 @@
 	return s, nil
 }
 
-// asRetiring returns a copy of a shard that retires.
+// asRetiring returns a copy of a shard with the state Retiring.
 func asRetiring(s *Shard) *Shard {
 	retiring := *s
 	retiring.State = Retiring
@@ -279,7 +279,7 @@
 	return !slices.ContainsFunc(a.Replicas, func(r Replica) bool { return !b.ServedBy(r.Server) })
 }
 
-// serverNames lists the servers of replicas for people.
+// serverNames lists the servers of replicas for operators.
 func serverNames(replicas []Replica) string {
 	if len(replicas) == 0 {
 		return "nobody"
--- a/internal/control/shardmap/rollout.go
+++ b/internal/control/shardmap/rollout.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Rollout decides when the steps of a plan are published. It may be stopped at any moment: a new one continues from the
-// map as it finds it.
+// Rollout decides when the steps of a plan are published. It may be abandoned at any time: a new Rollout of the plan
+// continues from the published map.
 type Rollout struct {
 	Plan *Plan
 
-	epochSince time.Time // when the current epoch was published, or first seen
+	epochSince time.Time // when the published epoch was first passed to Next
 	epoch      Epoch
 }
 
-// NodeStatus is what the caller knows of the nodes.
+// NodeStatus reports the state of the nodes.
 type NodeStatus interface {
 	// HasCopied reports whether a joining server has copied all of a shard.
 	HasCopied(shard ID, server string) bool
-	// KnownEpoch returns the newest epoch that a server knows.
+	// KnownEpoch returns the newest epoch that a server has received.
 	KnownEpoch(server string) Epoch
 }
 
-// Action is what to do next in a rollout: publish a map, wait, or stop because all is done.
+// Action is the next action of a rollout: publish a map, wait, or stop because all steps are published.
 type Action struct {
 	Publish    *Map      // map of the next epoch; nil: wait, unless Done
 	Step       int       // index of the step that Publish carries out
-	CheckAt    time.Time // when to call Next again, if the status of a node has not changed before
-	WaitingFor string    // what is waited for, for people
+	CheckAt    time.Time // when to call Next again, unless the status of a node changes earlier
+	WaitingFor string    // reason for the wait, for operators
 	Done       bool      // all steps are published
 }
 
-// nodePollInterval is how soon Next should be called again while nodes are waited for.
+// nodePollInterval is the time until Next should be called again while a step waits for nodes.
 const nodePollInterval = 20 * time.Millisecond
 
-// Next returns what to do with the current map. An error means that the plan cannot be carried out any more; the map
-// stays as it is, and is a legal one.
+// Next returns the next action, given the published map. An error means that the remaining steps cannot be carried out;
+// the published map stays valid.
 func (r *Rollout) Next(now time.Time, published *Map, nodes NodeStatus) (Action, error) {
 	if r.epoch != published.Epoch {
 		r.epoch = published.Epoch
@@ -56,7 +56,7 @@
 	return Action{Publish: next, Step: done}, err
 }
 
-// waitingForNode says which node a step has to wait for; empty if none.
+// waitingForNode returns why a step has to wait for a node, or an empty text if it does not.
 func (s *Step) waitingForNode(published *Map, nodes NodeStatus) string {
 	for _, shard := range s.Put {
 		current := published.Shard(shard.ID)
@@ -65,10 +65,10 @@
 		}
 		for _, replica := range current.Replicas {
 			if s.AwaitCopies && replica.Joining && !nodes.HasCopied(shard.ID, replica.Server) {
-				return replica.Server + " copies"
+				return replica.Server + " has not copied the block yet"
 			}
 			if s.AwaitEpochKnown && nodes.KnownEpoch(replica.Server) < published.Epoch {
-				return replica.Server + " does not know the epoch"
+				return replica.Server + " has not received the epoch yet"
 			}
 		}
 	}
--- a/internal/control/shardmap/shard.go
+++ b/internal/control/shardmap/shard.go
@@ -6,35 +6,34 @@
 	"slices"
 )
 
-// ID identifies a shard. It is given out once and never again.
+// ID identifies a shard. It is assigned once and never reused.
 type ID uint64
 
-// Epoch numbers the maps of an archive, from 1.
+// Epoch is the version of an archive's map, from 1.
 type Epoch uint64
 
-// State of a shard.
+// State is the state of a shard.
 type State string
 
 // The states of a shard. Their values are stored in files.
 const (
 	Serving   State = "serving"
-	Migrating State = "moving"    // replicas join and leave
-	Splitting State = "splitting" // two or more shards are about to take its place
-	Merging   State = "merging"   // it is about to become one with its neighbours
-	Retiring  State = "retiring"  // others have taken its place: only queries of earlier epochs use it
+	Migrating State = "moving"    // replicas are being added and removed
+	Splitting State = "splitting" // two or more shards are about to replace it
+	Merging   State = "merging"   // it is about to be merged with its neighbors
+	Retiring  State = "retiring"  // replaced by other shards: only queries pinned to earlier epochs use it
 )
 
 // Replica is one server's copy of a shard.
 type Replica struct {
 	Server string `json:"server"`
-	// Joining replicas are still copying the shard and get no requests.
+	// Joining replicas are still copying the shard and receive no requests.
 	Joining bool `json:"joining,omitempty"`
-	// ServingSince is the epoch in which the replica began to serve; 0 if it did from the start. It warms up after
-	// that.
+	// ServingSince is the epoch from which on the replica serves and warms up; 0 if it served from the start.
 	ServingSince Epoch `json:"since,omitempty"`
 }
 
-// maxWeight is the largest weight of a shard.
+// maxWeight is the maximum weight of a shard.
 const maxWeight = 1e12
 
 // Shard is one range of keys and its replicas. It must not be changed once it is in a Map.
@@ -45,13 +44,14 @@
 	State    State     `json:"state"`
 	Weight   float64   `json:"weight,omitempty"` // share of the archive, in any unit; 0 counts as 1
 	Replicas []Replica `json:"holders"`
-	Parents  []ID      `json:"parents,omitempty"` // shards whose place it took
+	Parents  []ID      `json:"parents,omitempty"` // shards that it replaced
 }
 
 // Contains reports whether a key lies in the shard's range.
 func (s *Shard) Contains(key Key) bool { return key >= s.From && (s.To == "" || key < s.To) }
 
-// Active reports whether the shard is one of those that cover the keys. Others are there for queries of earlier epochs.
+// Active reports whether the shard is one of those that together cover each key once. Other shards are retained for
+// queries pinned to earlier epochs.
 func (s *Shard) Active() bool { return s.State != Retiring }
 
 // replica returns a server's replica of the shard.
@@ -63,13 +63,13 @@
 	return s.Replicas[i], true
 }
 
-// ServedBy reports whether a server has a replica that gets requests.
+// ServedBy reports whether a server has a replica that receives requests.
 func (s *Shard) ServedBy(server string) bool {
 	r, found := s.replica(server)
 	return found && !r.Joining
 }
 
-// ServingReplicas returns the replicas that get requests. The slice is the caller's.
+// ServingReplicas returns the replicas that receive requests, in a slice that the caller may modify.
 func (s *Shard) ServingReplicas() (serving []Replica) {
 	for _, r := range s.Replicas {
 		if !r.Joining {
@@ -79,7 +79,7 @@
 	return serving
 }
 
-// weight is the shard's Weight, or what counts if that is not stated.
+// weight returns the shard's Weight, or 1 if that is 0.
 func (s *Shard) weight() float64 {
 	if s.Weight > 0 {
 		return s.Weight
@@ -87,7 +87,7 @@
 	return 1
 }
 
-// Range formats the shard's range of keys for people.
+// Range formats the shard's range of keys for operators.
 func (s *Shard) Range() string {
 	from := string(s.From)
 	to := string(s.To)
@@ -100,14 +100,14 @@
 	return "[" + from + ", " + to + ")"
 }
 
-// equal reports whether two shards are the same in all that a map states of them.
+// equal reports whether all fields of two shards are equal.
 func (s *Shard) equal(other *Shard) bool {
 	return other.ID == s.ID && other.From == s.From && other.To == s.To &&
 		other.State == s.State && other.Weight == s.Weight &&
 		slices.Equal(other.Replicas, s.Replicas) && slices.Equal(other.Parents, s.Parents)
 }
 
-// validate checks a shard by itself, as part of a map of the given epoch and next id.
+// validate checks a shard, but not its neighbors, as part of a map with the given epoch and next id.
 func (s *Shard) validate(epoch Epoch, next ID) error {
 	switch {
 	case s.ID == 0 || s.ID >= next:
--- a/internal/control/shardmap/shardmap_test.go
+++ b/internal/control/shardmap/shardmap_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// invalidMaps are changes that make the map of TestNew_RejectsInvalidMaps invalid, and parts of the errors.
+// invalidMaps are changes that invalidate the map of TestNew_RejectsInvalidMaps, and parts of the expected errors.
 var invalidMaps = map[string]struct {
 	invalidate func([]*Shard)
 	want       string
--- a/internal/control/shardmap/sharing.go
+++ b/internal/control/shardmap/sharing.go
@@ -2,9 +2,10 @@
 
 import "rooktrestle/internal/control/persistentmap"
 
-// ShareWith returns the same map, sharing memory with an earlier one where they are alike. It compares all shards,
-// so it should be called before the map is handed to a goroutine that must not be delayed; after it, Views.Offer
-// costs no more than what changed. If more than a quarter of the shards differ, m itself is returned.
+// ShareWith returns a map equal to m that shares the memory of unchanged shards with an earlier map. It compares all
+// shards, so it should be called before the map is passed to a goroutine that must not be delayed; the cost of
+// Views.Offer then depends only on the number of changes. If old is nil or of another archive, or if more than a
+// quarter of the shards differ, m itself is returned.
 func (m *Map) ShareWith(old *Map) *Map {
 	if old == nil || old.Archive != m.Archive {
 		return m
@@ -14,33 +15,33 @@
 		return m
 	}
 	shared := &Map{
-		Archive: m.Archive,
-		Epoch:   m.Epoch,
-		NextID:  m.NextID,
-		cover:   old.cover,
-		all:     old.all,
-		weight:  m.weight,
+		Archive:      m.Archive,
+		Epoch:        m.Epoch,
+		NextID:       m.NextID,
+		activeByFrom: old.activeByFrom,
+		byID:         old.byID,
+		weight:       m.weight,
 	}
 	for _, s := range removed {
-		shared.all = shared.all.Delete(s.ID)
+		shared.byID = shared.byID.Delete(s.ID)
 		if s.Active() {
-			shared.cover = shared.cover.Delete(s.From)
+			shared.activeByFrom = shared.activeByFrom.Delete(s.From)
 		}
 	}
 	for _, s := range put {
-		shared.all = shared.all.Set(s.ID, s)
+		shared.byID = shared.byID.Set(s.ID, s)
 		if s.Active() {
-			shared.cover = shared.cover.Set(s.From, s)
+			shared.activeByFrom = shared.activeByFrom.Set(s.From, s)
 		}
 	}
 	return shared
 }
 
-// differences returns the shards of a map that an older one does not have, and those of the older one that have to be
-// removed from it, and whether they are few enough for sharing to be worthwhile.
+// differences returns the shards to put into an older map and those to remove from it to get m, and whether they are
+// few enough for sharing to be worthwhile.
 func (m *Map) differences(old *Map) (put, removed []*Shard, worthwhile bool) {
-	limit := m.all.Len() / 4
-	persistentmap.Diff(old.all, m.all, func(d persistentmap.Difference[ID, *Shard]) bool {
+	limit := m.byID.Len() / 4
+	persistentmap.Diff(old.byID, m.byID, func(d persistentmap.Difference[ID, *Shard]) bool {
 		if d.InBefore && d.InAfter && d.Before.equal(d.After) {
 			return true
 		}
--- a/internal/control/shardmap/stored_test.go
+++ b/internal/control/shardmap/stored_test.go
@@ -10,9 +10,9 @@
 )
 
 // The files in testdata/b803164 were written by commit b803164, before the fields and types of this package were
-// renamed: the maps of ten epochs by Map.Print, the three plans that lead from one to the next as controllers store
-// them, and differences of maps as `rooktrestle blocks diff --json` prints them. Text of that form is on disks and
-// is read by scripts.
+// renamed: the maps of ten epochs by Map.Print, the three plans that lead from map to map as controllers store them,
+// and differences of maps as `rooktrestle blocks diff --json` prints them. Text of that form is stored on disks and
+// read by scripts, so it must remain readable, and new text must equal it.
 
 func storedFile(t *testing.T, name string) []byte {
 	t.Helper()
@@ -42,7 +42,7 @@
 		text := m.Encode()
 		want := storedFile(t, fmt.Sprintf("map-epoch%d.json", epoch))
 		if string(text) != string(want) {
-			t.Errorf("epoch %d is written as\n%s, was\n%s", epoch, text, want)
+			t.Errorf("epoch %d is written as\n%s, want\n%s", epoch, text, want)
 		}
 		if previous != nil {
 			if err := m.ValidateSuccession(previous); err != nil {
@@ -84,7 +84,7 @@
 				}
 				stored := storedMap(t, m.Epoch)
 				if done := plan.StepsDone(stored); !m.sameShards(stored) || done != i+1 {
-					t.Errorf("step %d leads to %s, and %d steps are done in the stored map", i, m.Encode(), done)
+					t.Errorf("step %d: got %s, want the stored map; %d of its steps are done", i, m.Encode(), done)
 				}
 			}
 		})
@@ -99,7 +99,7 @@
 		}
 		want := storedFile(t, fmt.Sprintf("diff-epoch1-epoch%d.json", epoch))
 		if string(text)+"\n" != string(want) {
-			t.Errorf("epoch 1 to %d is written as\n%s, was\n%s", epoch, text, want)
+			t.Errorf("the difference of epochs 1 and %d is written as\n%s, want\n%s", epoch, text, want)
 		}
 	}
 }
@@ -111,6 +111,6 @@
 		t.Fatal(err)
 	}
 	if string(text) != string(want) {
-		t.Errorf("the plan is written as\n%s, was\n%s", text, want)
+		t.Errorf("the plan is written as\n%s, want\n%s", text, want)
 	}
 }
--- a/internal/control/shardmap/succession.go
+++ b/internal/control/shardmap/succession.go
@@ -10,7 +10,7 @@
 
 // Errors of ValidateSuccession that callers distinguish.
 var (
-	// ErrStaleEpoch means that the map is older than the current one, or the same again.
+	// ErrStaleEpoch means that the map is not newer than the current one.
 	ErrStaleEpoch = errors.New("an older epoch, or the same again")
 	// ErrOtherArchive means that the map is of another archive.
 	ErrOtherArchive = errors.New("a map of another archive")
@@ -18,9 +18,9 @@
 	ErrForked = errors.New("the same epoch with other blocks")
 )
 
-// ValidateSuccession returns an error unless the map may follow an older one. If it is the next epoch, every change has
-// to be legal. If epochs between them are missing, what cannot be known is left open, but ids, ranges and the coverage
-// still have to fit.
+// ValidateSuccession returns an error unless the map may follow an older one. If it is the next epoch, every change
+// must be legal. If epochs between them are missing, only what holds over any number of epochs is checked: that ids are
+// not reused, that ranges do not change and that retiring shards do not become active.
 func (m *Map) ValidateSuccession(old *Map) error {
 	switch {
 	case m.Archive != old.Archive:
@@ -37,14 +37,15 @@
 		validate = m.validateLaterEpoch
 	}
 	var err error
-	persistentmap.Diff(old.all, m.all, func(d persistentmap.Difference[ID, *Shard]) bool { // shared shards are skipped
+	// Diff skips shards that the maps share.
+	persistentmap.Diff(old.byID, m.byID, func(d persistentmap.Difference[ID, *Shard]) bool {
 		err = validate(old, d.Before, d.After)
 		return err == nil
 	})
 	return err
 }
 
-// validateNextEpoch checks what one epoch changed of a shard. before is nil if it is new, after if it was removed.
+// validateNextEpoch checks the change of a shard in one epoch. before is nil if it is new, after if it was removed.
 func (m *Map) validateNextEpoch(old *Map, before, after *Shard) error {
 	switch {
 	case after == nil && before.Active():
@@ -61,7 +62,7 @@
 	return checkTransition(before, after, m.Epoch)
 }
 
-// validateLaterEpoch checks what several epochs changed of a shard. before is nil if it is new, after if it was
+// validateLaterEpoch checks the change of a shard over several epochs. before is nil if it is new, after if it was
 // removed.
 func (m *Map) validateLaterEpoch(old *Map, before, after *Shard) error {
 	switch {
@@ -88,11 +89,11 @@
 
 // sameShards reports whether two maps have equal shards and the same next id.
 func (m *Map) sameShards(other *Map) bool {
-	if m.all.Len() != other.all.Len() || m.NextID != other.NextID {
+	if m.byID.Len() != other.byID.Len() || m.NextID != other.NextID {
 		return false
 	}
 	same := true
-	persistentmap.Diff(m.all, other.all, func(d persistentmap.Difference[ID, *Shard]) bool {
+	persistentmap.Diff(m.byID, other.byID, func(d persistentmap.Difference[ID, *Shard]) bool {
 		same = d.InBefore && d.InAfter && d.Before.equal(d.After)
 		return same
 	})
@@ -108,7 +109,7 @@
 	Retiring:  {Retiring},
 }
 
-// checkTransition checks one shard from one epoch to the next.
+// checkTransition checks the change of one shard from one epoch to the next.
 func checkTransition(before, after *Shard, epoch Epoch) error {
 	if !slices.Contains(allowedTransitions[before.State], after.State) {
 		return fmt.Errorf("block %d: from %s to %s", after.ID, before.State, after.State)
@@ -126,7 +127,7 @@
 	if !mayLeave && len(serving) < len(before.ServingReplicas()) {
 		return fmt.Errorf("block %d: a holder leaves while the block is %s", after.ID, after.State)
 	}
-	// A replica that served before has to be among those that serve now: no other is known to be complete.
+	// At least one serving replica must have served before: no other is known to be complete.
 	served := func(r Replica) bool { return before.ServedBy(r.Server) }
 	if before.State != Retiring && !slices.ContainsFunc(serving, served) {
 		return fmt.Errorf("block %d: none of its holders held it before", after.ID)
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// checkReplicaTransition checks one replica of the next epoch against the shard before.
+// checkReplicaTransition checks one replica of the next epoch against the previous version of the shard.
 func checkReplicaTransition(before *Shard, replica Replica, epoch Epoch) error {
 	server := replica.Server
 	previous, existed := before.replica(server)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// checkNewShard checks a shard whose id is new: it takes the place of its parents, which retire in this epoch.
+// checkNewShard checks a shard whose id is new: it must replace its parents, which must retire in this epoch.
 func (m *Map) checkNewShard(old *Map, shard *Shard) error {
 	if shard.State != Serving {
 		return fmt.Errorf("block %d: new, and %s", shard.ID, shard.State)
@@ -193,8 +194,8 @@
 	return len(s.Parents) == 1 && s.From >= parent.From && endsWithin
 }
 
-// mergesParent reports whether a shard's parent, given by its index, is where it has to be in the merged range: the
-// first at its beginning, the last at its end, and each behind the one before.
+// mergesParent reports whether a shard's parent, given by its index, is at the right position in the merged range: the
+// first at its beginning, the last at its end, and each adjacent to the previous one.
 func mergesParent(old *Map, shard *Shard, index int) bool {
 	parent := old.Shard(shard.Parents[index])
 	if index == 0 && shard.From != parent.From {
--- a/internal/control/shardmap/succession_test.go
+++ b/internal/control/shardmap/succession_test.go
@@ -48,7 +48,7 @@
 	return threeShards(t)
 }
 
-// A succession is a change of a map, a number of epochs later.
+// succession is a change of a map over a number of epochs.
 type succession struct {
 	from   func(*testing.T) *Map
 	epochs Epoch
@@ -77,7 +77,7 @@
 		},
 		want: "without parents",
 	},
-	"a piece on a server without it": {
+	"a piece on a server that did not serve the parent": {
 		from:   announceSplit,
 		epochs: 1,
 		change: func(s map[ID]*Shard) {
@@ -203,7 +203,7 @@
 	},
 }
 
-// Legal successions are adopted. Others are rejected with the reason, and the current map stays.
+// Legal successions are adopted. Others are rejected with a reason, and the current map is retained.
 func TestMap_ValidateSuccession(t *testing.T) {
 	for _, table := range []map[string]succession{splitSuccessions, otherSuccessions} {
 		for name, c := range table {
--- a/internal/control/shardmap/views.go
+++ b/internal/control/shardmap/views.go
@@ -7,42 +7,45 @@
 	"time"
 )
 
-// ViewOptions bound what is kept for queries of earlier epochs, and say how replicas warm up. None has a default.
+// ViewOptions limit what is retained for queries of earlier epochs, and specify how replicas warm up. None has a
+// default.
 type ViewOptions struct {
-	MaxPinnedEpochs   int           // epochs kept beside the current one, at least 1
+	MaxPinnedEpochs   int           // epochs retained in addition to the current one, at least 1
 	MaxPinnedAge      time.Duration // of a pinned epoch since it was replaced
-	WarmupPeriod      time.Duration // until a new replica of a shard gets all of its traffic; 0: at once
-	WarmupMinFraction float64       // fraction of its traffic with which it begins, over 0 to 1
-	MaxSourceLag      time.Duration // how far the source may lag behind an epoch that a server named
+	WarmupPeriod      time.Duration // until a new replica of a shard receives its full traffic; 0: at once
+	WarmupMinFraction float64       // fraction of the full traffic with which it starts, over 0 to 1
+	MaxSourceLag      time.Duration // how long the source may lag behind an epoch that a server named
 }
 
-// validate names the settings in its errors as the operators' files do.
+// validate returns an error that names the invalid setting by its key in the operators' files, where the key of
+// most_pinned is pinned.
 func (o ViewOptions) validate() error {
 	switch {
 	case o.MaxPinnedEpochs < 1:
-		return errors.New("most_pinned must be at least 1")
+		return fmt.Errorf("most_pinned must be at least 1, not %d", o.MaxPinnedEpochs)
 	case o.MaxPinnedAge <= 0:
-		return errors.New("pinned_for must be over 0")
+		return fmt.Errorf("pinned_for must be over 0, not %v", o.MaxPinnedAge)
 	case o.MaxSourceLag < 0:
-		return errors.New("patience must not be negative")
+		return fmt.Errorf("patience must be at least 0, not %v", o.MaxSourceLag)
 	case o.WarmupPeriod < 0 || !(o.WarmupMinFraction > 0 && o.WarmupMinFraction <= 1):
-		return errors.New("cold must not be negative, and cold_from over 0 to 1")
+		return fmt.Errorf("cold must be at least 0, not %v, and cold_from over 0 and at most 1, not %v",
+			o.WarmupPeriod, o.WarmupMinFraction)
 	}
 	return nil
 }
 
-// View is one epoch as queries see it. All queries of an epoch share it.
+// View is the map of one epoch, with the number of queries pinned to it. All queries of an epoch share it.
 type View struct {
 	Map *Map
 
-	pins         int       // queries that hold it
-	replacedAt   time.Time // when a newer epoch was adopted; zero: it is the current one
+	pins         int       // number of queries pinned to it
+	replacedAt   time.Time // when a newer epoch was adopted; zero while it is current
 	expired      bool      // returned by Expired
-	activeShards []*Shard  // of the map, in the order of their ranges; nil: not made yet
+	activeShards []*Shard  // of the map, in the order of their ranges; nil until the first call of Shards
 }
 
-// Shards returns the active shards in the order of their ranges. They are made once an epoch, at the first call; the
-// slice must not be changed.
+// Shards returns the active shards in the order of their ranges. The slice is created once per view, at the first call,
+// and must not be changed.
 func (v *View) Shards() []*Shard {
 	if v.activeShards == nil {
 		v.activeShards = make([]*Shard, 0, v.Map.ActiveCount())
@@ -54,29 +57,29 @@
 	return v.activeShards
 }
 
-// ViewStats count what happened to maps and views. The owner of the Views counts the last three itself.
+// ViewStats counts events of maps and views. The last three fields are counted by the owner of the Views.
 type ViewStats struct {
 	Accepted        uint64 // maps that were adopted
-	Gaps            uint64 // of them, maps before which epochs were missing
+	Gaps            uint64 // adopted maps before which epochs were missing
 	Stale           uint64 // maps rejected because their epoch was not newer
 	Rejected        uint64 // maps rejected for other reasons
-	Expired         uint64 // epochs that queries were made to leave
-	MaxPinnedEpochs int    // most epochs that were kept at once
+	Expired         uint64 // epochs that queries had to leave
+	MaxPinnedEpochs int    // maximum number of earlier epochs retained at once
 	Restarts        uint64 // queries restarted on a newer map
 	Waits           uint64 // queries that waited for a newer map
 	FalseRejections uint64 // rejections that the current map contradicts
 }
 
-// Views keep the current map and those that queries are still pinned to. They are owned by one goroutine.
+// Views retains the current map and those that queries are still pinned to. It is owned by one goroutine.
 type Views struct {
 	Stats ViewStats
 
 	options        ViewOptions
 	current        *View
-	pinned         []*View             // earlier epochs that queries hold, oldest first
+	pinned         []*View             // earlier epochs that queries are pinned to, oldest first
 	adoptedAt      map[Epoch]time.Time // of epochs whose new replicas are warming up
 	newestSeen     Epoch               // the newest epoch that a server named
-	mapRequested   bool                // a newer map is wanted
+	mapRequested   bool                // a newer map was requested and may still arrive
 	requestedSince time.Time
 }
 
@@ -96,8 +99,8 @@
 	return vs.current.Map
 }
 
-// Offer takes a map from a source, and adopts it if it may follow the current one. Otherwise it returns the reason, and
-// the current map stays. A map that equals the current one is neither adopted nor an error.
+// Offer adopts a map from a source if it may follow the current one. Otherwise it returns the reason and retains the
+// current map. A map that equals the current one is neither adopted nor an error.
 func (vs *Views) Offer(now time.Time, published *Map) (adopted bool, err error) {
 	if vs.current == nil {
 		// Replicas of the first map count as warm.
@@ -126,7 +129,7 @@
 	return true, nil
 }
 
-// replaceCurrent keeps the current view for the queries that hold it.
+// replaceCurrent retains the current view for the queries that are pinned to it.
 func (vs *Views) replaceCurrent(now time.Time) {
 	vs.current.replacedAt = now
 	if vs.current.pins > 0 {
@@ -142,7 +145,7 @@
 	vs.settleRequest()
 }
 
-// startWarmup notes when an epoch was adopted, and forgets epochs whose new replicas are warm.
+// startWarmup records when an epoch was adopted, and drops epochs whose new replicas have warmed up.
 func (vs *Views) startWarmup(now time.Time, epoch Epoch) {
 	vs.adoptedAt[epoch] = now
 	for earlier, adoptedAt := range vs.adoptedAt {
@@ -159,9 +162,9 @@
 	}
 }
 
-// SourceUnchanged says that the source has answered and has nothing newer. Epochs that servers named are then taken
-// for wrong, unless the first was named only within MaxSourceLag: pollAgain says that the source should be polled
-// again soon.
+// SourceUnchanged handles an answer of the source that it has no newer map. Newer epochs that servers named are then
+// considered false, unless the first of them was named less than MaxSourceLag ago: then pollAgain is true, and the
+// source should be polled again soon.
 func (vs *Views) SourceUnchanged(now time.Time) (pollAgain bool) {
 	if vs.mapRequested && now.Sub(vs.requestedSince) < vs.options.MaxSourceLag {
 		return true
@@ -173,14 +176,14 @@
 	return false
 }
 
-// ObserveEpoch takes an epoch that a server named, and reports whether the source should be polled for a newer map.
+// ObserveEpoch handles an epoch that a server named, and reports whether the source should be polled for a newer map.
 func (vs *Views) ObserveEpoch(now time.Time, epoch Epoch) (requestMap bool) {
 	alreadyAdopted := vs.current != nil && epoch <= vs.current.Map.Epoch
 	alreadyRequested := vs.mapRequested && epoch <= vs.newestSeen
 	if alreadyAdopted || alreadyRequested {
 		return false
 	}
-	if !vs.mapRequested { // counted from the first: a server that names ever newer epochs gains no time
+	if !vs.mapRequested { // MaxSourceLag counts from the first epoch, so that ever newer ones do not extend it
 		vs.requestedSince = now
 	}
 	vs.newestSeen = max(vs.newestSeen, epoch)
@@ -188,10 +191,10 @@
 	return true
 }
 
-// AwaitingMap reports whether a newer map may be on its way.
+// AwaitingMap reports whether a newer map was requested and may still arrive.
 func (vs *Views) AwaitingMap() bool { return vs.mapRequested }
 
-// Pin returns the view of the current epoch and holds it for a query, until Release; nil if there is no map.
+// Pin pins a query to the current epoch until Release, and returns the epoch's view; nil if there is no map.
 func (vs *Views) Pin() *View {
 	if vs.current != nil {
 		vs.current.pins++
@@ -199,8 +202,8 @@
 	return vs.current
 }
 
-// Release lets go of a pinned view, once for each Pin. An earlier epoch is dropped with its last query. A nil view is
-// ignored.
+// Release unpins a query from a view. It must be called once for each Pin. An earlier epoch is dropped with its last
+// query. A nil view is ignored.
 func (vs *Views) Release(v *View) {
 	if v == nil {
 		return
@@ -214,8 +217,9 @@
 	}
 }
 
-// Expired returns the views that queries have to leave by now, each once: the oldest beyond MaxPinnedEpochs, and those
-// kept longer than MaxPinnedAge. This protects memory, and the replicas of retiring shards, from queries that stay.
+// Expired returns the views that queries have to leave now, each once: the oldest beyond MaxPinnedEpochs, and those
+// replaced at least MaxPinnedAge ago. This limits the memory, and the use of retiring shards' replicas, by queries that
+// stay pinned to earlier epochs.
 func (vs *Views) Expired(now time.Time) (expired []*View) {
 	for i, v := range vs.pinned {
 		tooMany := len(vs.pinned)-i > vs.options.MaxPinnedEpochs
@@ -229,7 +233,7 @@
 	return expired
 }
 
-// NextExpiry returns when Expired will have a view by its age; zero if none is pinned.
+// NextExpiry returns when the next view expires by its age; zero if there is none.
 func (vs *Views) NextExpiry() (next time.Time) {
 	for _, v := range vs.pinned {
 		expiry := v.replacedAt.Add(vs.options.MaxPinnedAge)
@@ -240,7 +244,7 @@
 	return next
 }
 
-// Pinned returns the number of earlier epochs that are kept, and of the queries that hold them.
+// Pinned returns the number of earlier epochs that are retained, and of the queries pinned to them.
 func (vs *Views) Pinned() (epochs, queries int) {
 	for _, v := range vs.pinned {
 		queries += v.pins
@@ -248,8 +252,8 @@
 	return len(vs.pinned), queries
 }
 
-// TrafficFraction returns the fraction of its traffic that a replica should get by now, over 0 to 1. Replicas that are
-// new to a shard warm up.
+// TrafficFraction returns the fraction of its full traffic that a replica should receive at now, over 0 to 1. Replicas
+// that are new to a shard warm up.
 func (vs *Views) TrafficFraction(now time.Time, r Replica) float64 {
 	if r.ServingSince == 0 || vs.options.WarmupPeriod <= 0 {
 		return 1
--- a/internal/control/shardmap/views_test.go
+++ b/internal/control/shardmap/views_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sources that go back, repeat, fork or bring the map of another archive change nothing.
+// Maps that are older, repeated, forked or of another archive do not replace the current map.
 func TestViews_Offer_RejectsInvalidMaps(t *testing.T) {
 	vs, err := NewViews(ViewOptions{MaxPinnedEpochs: 2, MaxPinnedAge: time.Minute, WarmupMinFraction: 1})
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// An epoch is dropped with its last query. Those kept too long, or beyond the limit, expire once.
+// An earlier epoch is dropped with its last query. Epochs retained too long, or beyond the limit, expire once.
 func TestViews_PinAndExpire(t *testing.T) {
 	m := threeShards(t)
 	now := origin
@@ -78,7 +78,7 @@
 	}
 }
 
-// Replicas that are new to a shard warm up for it, others do not.
+// Only replicas that are new to a shard warm up.
 func TestViews_TrafficFraction_NewReplicasWarmUp(t *testing.T) {
 	m := threeShards(t)
 	vs := newViews(t, ViewOptions{
@@ -104,7 +104,7 @@
 	}
 	for _, replica := range replicas {
 		if fraction := vs.TrafficFraction(origin, replica); fraction != atOnce[replica.Server] {
-			t.Errorf("%s gets %v of its traffic, want %v", replica.Server, fraction, atOnce[replica.Server])
+			t.Errorf("%s receives %v of its traffic, want %v", replica.Server, fraction, atOnce[replica.Server])
 		}
 		if replica.Server != "c" {
 			continue
@@ -112,7 +112,7 @@
 		half := vs.TrafficFraction(origin.Add(8*time.Second), replica)
 		end := vs.TrafficFraction(origin.Add(16*time.Second), replica)
 		if half != 0.625 || end != 1 {
-			t.Errorf("after half of the period c gets %v of its traffic, at its end %v", half, end)
+			t.Errorf("c receives %v of its traffic after half the period, %v at its end; want 0.625, 1", half, end)
 		}
 	}
 }
