--- a/internal/control/estimate/estimate_test.go
+++ b/internal/control/estimate/estimate_test.go
@@ -47,7 +47,7 @@
 		w.Add(now, now-10)
 	}
 	if n := w.Since(1); n != 3 || !slices.Equal(w, Window{2, 3, 4}) {
-		t.Errorf("%d events left: %v", n, w)
+		t.Errorf("%d events remain: %v", n, w)
 	}
 	w.Add(20, 10)
 	if !slices.Equal(w, Window{20}) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// All parts of a wide request together weigh about as much as a few narrow ones.
+// All parts of a wide request together have about the weight of a few narrow requests.
 func TestLatency_RecordLimitsWideRequests(t *testing.T) {
 	narrow := NewLatency(1e6)
 	wide := NewLatency(1e6)
@@ -112,7 +112,7 @@
 		t.Errorf("%v deviations for 60 responses, want %v", got, want)
 	}
 	if got, want := TailDeviations(60, 0.5), TailFactor*math.Log(60.0/31); got != want {
-		t.Errorf("%v deviations where half may be missing, want %v", got, want)
+		t.Errorf("%v deviations where half of the responses are optional, want %v", got, want)
 	}
 	if TailDeviations(0, 0) != 0 {
 		t.Error("deviations for no responses")
--- a/internal/control/estimate/latency.go
+++ b/internal/control/estimate/latency.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// The estimate before anything was measured, as ratios.
+// The initial estimate, which applies before any measurement, as ratios.
 const (
-	InitialMean      = 0.25 // of the shortest latency objective: the mean response time
-	InitialDeviation = 0.25 // of that mean: the mean deviation
+	InitialMean      = 0.25 // mean response time, as a fraction of the shortest latency objective
+	InitialDeviation = 0.25 // mean deviation, as a fraction of InitialMean
 )
 
-// TailFactor is by how many mean deviations the slowest response is late, times ln of the number of responses.
+// TailFactor times ln n is by how many mean deviations the slowest of n responses exceeds the mean.
 const TailFactor = 1.2
 
 const (
 	maxSmoothing      = 0.05 // weight of one response time, at most
-	requestSmoothing  = 0.5  // weight of all response times of one request together, at most
+	requestSmoothing  = 0.5  // total weight of the response times of one request, at most
 	overdueDeviations = 3.0  // mean deviations beyond the mean at which an attempt is overdue
-	forgetting        = 0.3  // share of the excess that Forget takes away
+	forgetFraction    = 0.3  // fraction of the excess that Forget removes
 )
 
 // Latency estimates the response times over all servers, in microseconds.
@@ -24,23 +24,25 @@
 	Deviation float64 // mean absolute deviation
 }
 
-// NewLatency returns the estimate before anything was measured, by the shortest latency objective in microseconds.
+// NewLatency returns the initial estimate for a shortest latency objective in microseconds.
 func NewLatency(objective float64) Latency {
 	return Latency{Mean: objective * InitialMean, Deviation: objective * InitialMean * InitialDeviation}
 }
 
-// Record takes in the response time of one of the parts of a request. Each request counts about the same: its parts
-// come in by their times, and the last of a wide one, its slowest, would outweigh all others.
-func (l *Latency) Record(took float64, parts int) {
+// Record adds the response time of one part of a request that has so many parts. Each request has about the same total
+// weight: parts are recorded in the order of their response times, so the slowest parts of a wide request, recorded
+// last, would otherwise outweigh all others.
+func (l *Latency) Record(responseTime float64, parts int) {
 	weight := min(maxSmoothing, requestSmoothing/float64(max(1, parts)))
-	l.Deviation += weight * (math.Abs(took-l.Mean) - l.Deviation)
-	l.Mean += weight * (took - l.Mean)
+	l.Deviation += weight * (math.Abs(responseTime-l.Mean) - l.Deviation)
+	l.Mean += weight * (responseTime - l.Mean)
 }
 
-// Forget moves the mean toward a floor and shrinks the deviation, for when no new responses will correct them.
+// Forget moves the mean toward a floor and reduces the deviation. It is for times without new responses, which would
+// correct them.
 func (l *Latency) Forget(floor float64) {
-	l.Mean += forgetting * (floor - l.Mean)
-	l.Deviation -= forgetting * l.Deviation
+	l.Mean += forgetFraction * (floor - l.Mean)
+	l.Deviation -= forgetFraction * l.Deviation
 }
 
 // Overdue is the response time beyond which an attempt is overdue.
@@ -49,9 +51,9 @@
 // Typical is the response time within which most attempts end: one deviation beyond the mean.
 func (l *Latency) Typical() float64 { return l.Mean + l.Deviation }
 
-// TailDeviations says by how many deviations the slowest of parts responses is beyond the mean, where the fraction
-// optional of the slowest is not waited for: of m times with an exponential tail the one with k beyond it lies about
-// ln m/(k+1) deviations out.
+// TailDeviations returns by how many mean deviations the last awaited one of so many responses exceeds the mean; the
+// slowest ones, the fraction optional of them all, are not awaited. Of m times with an exponential tail, the one that k
+// others exceed is about ln(m/(k+1)) deviations beyond the mean.
 func TailDeviations(parts int, optional float64) float64 {
 	m := float64(max(1, parts))
 	return TailFactor * math.Log(m/(1+math.Floor(m*optional)))
--- a/internal/control/estimate/quantile.go
+++ b/internal/control/estimate/quantile.go
@@ -5,8 +5,7 @@
 // Median returns the upper median of values, or 0 if there are none. It sorts values.
 func Median(values []float64) float64 { return Quantile(values, 0.5) }
 
-// Quantile returns the value below which the fraction q (0 <= q < 1) of values lies, or 0 if there are none. It sorts
-// values.
+// Quantile returns the q-quantile (0 <= q < 1) of values, or 0 if there are none. It sorts values.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/control/estimate/samples.go
+++ b/internal/control/estimate/samples.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxSamples is how many samples are kept.
+// maxSamples is the number of samples that are retained.
 const maxSamples = 8
 
-// Samples holds the last few measured values, oldest first, at most maxSamples of them.
+// Samples are the last measured values, oldest first, at most maxSamples of them.
 type Samples []float64
 
 // Add adds a value and drops the oldest beyond maxSamples.
@@ -16,7 +16,7 @@
 	}
 }
 
-// Last returns the last n values, or all if there are fewer. The slice is the caller's to read only.
+// Last returns the last n values, or all if there are fewer. The caller must not modify the slice.
 func (s Samples) Last(n int) []float64 { return s[max(0, len(s)-n):] }
 
 // Mean returns the mean of the last n values, or 0 if there are none.
--- a/internal/control/estimate/time.go
+++ b/internal/control/estimate/time.go
@@ -1,6 +1,6 @@
-// Package estimate keeps running estimates of times and rates: moving averages, recent samples, quantiles and windows
-// of past events. Times are held in microseconds as floating-point numbers, so that averages of short times keep their
-// fractions. It does no I/O and reads no clock, and none of its types is safe for concurrent use.
+// Package estimate maintains running estimates of times and rates: moving averages, recent samples, quantiles and
+// windows of past events. Times are in microseconds as floating-point numbers, so that averages of short times retain
+// their fractions. It does no I/O and reads no clock, and none of its types is safe for concurrent use.
 package estimate
 
 import "time"
--- a/internal/control/estimate/window.go
+++ b/internal/control/estimate/window.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Window holds the times of recent events, oldest first.
+// Window contains the times of recent events, oldest first.
 type Window []time.Duration
 
-// Since drops the events at or before start and returns how many are left.
+// Since drops the events at or before start and returns the number of those that remain.
 func (w *Window) Since(start time.Duration) int {
 	*w = slices.DeleteFunc(*w, func(at time.Duration) bool { return at <= start })
 	return len(*w)
