--- a/internal/control/suspicion/path.go
+++ b/internal/control/suspicion/path.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	pathFailuresPerRequest = 2.0  // failures against a path, for each request in flight over it, until it is unusable
-	minLatencyRise         = 0.01 // weight of response times above a path's least: wide requests end with slow ones
+	pathFailuresPerRequest = 2.0  // failures over a path, per request in flight over it, that make it unusable
+	minLatencyRise         = 0.01 // weight of response times above MinLatency: low, as wide requests end with slow ones
 )
 
-// MaxTypicalOverdue is how many requests in flight beyond the typical latency make a path unresponsive.
+// MaxTypicalOverdue is the number of requests in flight for longer than the typical latency that make a path
+// unresponsive.
 const MaxTypicalOverdue = 8
 
-// SlowFactor is how many times the median of the servers' service times counts as slow.
+// SlowFactor is the multiple of the median of the servers' service times beyond which a target counts as slow.
 const SlowFactor = 2.5
 
-// Path is how requests over the network path to a zone end. A zone whose servers all fail at once is more likely to be
-// cut off than down, and one half-open request at a time tells.
+// Path records how requests over the network path to a zone end. A zone whose servers all fail at once is more likely
+// to be cut off than down; one half-open request at a time tests the path.
 type Path struct {
 	Record
-	MinLatency float64 // least response time, microseconds, slowly rising; 0: none yet
+	MinLatency float64 // minimum response time in microseconds, which rises slowly if all are longer; 0: none yet
 }
 
-// Usable reports whether requests may go over the path. Failures come back before answers, so the more requests are in
-// flight, the more failures are needed.
+// Usable reports whether requests may be sent over the path. Failures arrive before answers, so the number of failures
+// that make the path unusable grows with the number of requests in flight.
 func (p *Path) Usable() bool {
 	return p.Penalty < max(MaxPenalty, pathFailuresPerRequest*float64(len(p.InFlight))) && !p.Unresponsive && !p.Slow
 }
 
-// AllowsHalfOpen reports whether a half-open request may go over the path: it is usable, or none is in flight and
-// one is due.
+// AllowsHalfOpen reports whether a half-open request may be sent over the path: the path is usable, or no request is in
+// flight over it and the next half-open request is due.
 func (p *Path) AllowsHalfOpen(now time.Duration) bool {
 	return p.Usable() || len(p.InFlight) == 0 && now >= p.NextHalfOpen
 }
@@ -40,18 +41,19 @@
 // RecordFailure counts a failure over the path.
 func (p *Path) RecordFailure() { p.Penalty++ }
 
-// RecordReachable notes that something came back over the path, if only an error.
+// RecordReachable records that a response arrived over the path, even if it was an error.
 func (p *Path) RecordReachable() { p.Penalty = 0 }
 
-// RecordAnswer notes an answer that took so many microseconds.
-func (p *Path) RecordAnswer(now time.Duration, took float64) {
+// RecordAnswer records an answer with its response time in microseconds.
+func (p *Path) RecordAnswer(now time.Duration, responseTime float64) {
 	p.Penalty = 0
 	p.LastSuccess = now
-	p.MinLatency = min(took, (1-minLatencyRise)*cmp.Or(p.MinLatency, took)+minLatencyRise*took)
+	p.MinLatency = min(responseTime, (1-minLatencyRise)*cmp.Or(p.MinLatency, responseTime)+minLatencyRise*responseTime)
 }
 
 // Assess decides whether the path is unresponsive or slow, by the latency over all servers and the median of their
-// service times in microseconds. May hurt where the servers of another zone are the better ones, however far.
+// service times in microseconds. A path counts as slow even if the servers of its zone are the better choice despite
+// the distance.
 func (p *Path) Assess(now time.Duration, latency *estimate.Latency, medianServiceTime float64) {
 	p.Unresponsive = p.Stalled(now, latency.Overdue()) >= MaxPenalty ||
 		p.Stalled(now, latency.Typical()) >= MaxTypicalOverdue
--- a/internal/control/suspicion/record.go
+++ b/internal/control/suspicion/record.go
@@ -1,6 +1,6 @@
-// Package suspicion keeps a record of how requests to a server, to one class of requests there or over a network path
-// end, and derives from it how far it is to be trusted: a penalty that grows with failures and decays with successes,
-// the share of requests lost, and how many in flight must be taken for lost. It does no I/O and reads no clock. Time
+// Package suspicion records how requests to a server, requests of one class to a server and requests over a network
+// path end. From this it derives a penalty that grows with failures and decays with successes, the rate of lost
+// requests, and the number of requests in flight that are presumed lost. It does no I/O and reads no clock. Time
 // thresholds are in microseconds.
 package suspicion
 
@@ -12,42 +12,42 @@
 )
 
 const (
-	// MaxPenalty is the most failures that count against a server; it bounds how long recovery takes.
+	// MaxPenalty is the upper limit of a server's penalty; it bounds how long recovery takes.
 	MaxPenalty = 3.0
-	// LostFactor is how many overdue times an attempt may take, though others were answered since, until it counts
-	// as lost.
+	// LostFactor is the multiple of the overdue time after which an attempt counts as lost even if others were
+	// answered since it was sent.
 	LostFactor = 3.0
-	// LossSmoothing is the weight of one attempt in the share lost.
+	// LossSmoothing is the weight of one attempt in the loss rate.
 	LossSmoothing = 0.1
 
-	penaltyDecay     = 0.6  // share of its penalty that is kept after a success
-	minPenalty       = 0.25 // a penalty below it counts as none
-	maxBackoffFactor = 8    // how many times longer the next half-open request waits, at most, after failures in a row
+	penaltyDecay     = 0.6  // fraction of the penalty that remains after a success
+	minPenalty       = 0.25 // lower penalties are set to 0
+	maxBackoffFactor = 8    // maximum multiple of the interval to the next half-open request after failures in a row
 )
 
-// Record is how requests to one target end.
+// Record stores how requests to one target ended.
 type Record struct {
 	LastSuccess  time.Duration   // clock time; 0: none yet
 	InFlight     []time.Duration // when each request in flight was sent
 	Penalty      float64         // decaying number of failures; 0: trusted
 	Failures     float64         // since the last success
-	LossRate     float64         // moving share of the attempts that got no usable answer, 0 to 1
-	Unresponsive bool            // too many in flight are stalled
-	Slow         bool            // responses are late by far, though they come
-	NextHalfOpen time.Duration   // earliest next half-open request
+	LossRate     float64         // moving average of the fraction of attempts without a usable answer, 0 to 1
+	Unresponsive bool            // too many requests in flight are stalled
+	Slow         bool            // responses arrive, but take far longer than those of other targets
+	NextHalfOpen time.Duration   // clock time of the earliest next half-open request
 }
 
 // Sent adds a request sent at now to those in flight.
 func (r *Record) Sent(now time.Duration) { r.InFlight = append(r.InFlight, now) }
 
-// Ended takes the request sent at sent from those in flight.
+// Ended removes the request sent at sent from those in flight.
 func (r *Record) Ended(sent time.Duration) {
 	if i := slices.Index(r.InFlight, sent); i >= 0 {
 		r.InFlight = slices.Delete(r.InFlight, i, i+1)
 	}
 }
 
-// RecordLoss takes the end of an attempt into the share lost.
+// RecordLoss updates the loss rate with one attempt that ended.
 func (r *Record) RecordLoss(lost bool) {
 	r.LossRate -= LossSmoothing * r.LossRate
 	if lost {
@@ -55,7 +55,7 @@
 	}
 }
 
-// RecordSuccess takes some of the penalty away after a success.
+// RecordSuccess reduces the penalty after a success.
 func (r *Record) RecordSuccess() {
 	r.Failures = 0
 	r.Penalty *= penaltyDecay
@@ -64,21 +64,21 @@
 	}
 }
 
-// RecordFailure counts a failure. The next half-open request may go out after interval microseconds times the number of
-// failures in a row, up to a limit.
+// RecordFailure counts a failure. The next half-open request may be sent after interval microseconds times the number
+// of failures in a row, of which at most maxBackoffFactor count.
 func (r *Record) RecordFailure(now time.Duration, interval float64) {
 	r.Failures++
 	r.Penalize(now, interval*min(maxBackoffFactor, r.Failures))
 }
 
-// Penalize adds one failure to the penalty and puts the next half-open request off for interval microseconds.
+// Penalize adds one failure to the penalty and delays the next half-open request by interval microseconds.
 func (r *Record) Penalize(now time.Duration, interval float64) {
 	r.Penalty = min(MaxPenalty, r.Penalty+1)
 	r.NextHalfOpen = now + estimate.Duration(interval)
 }
 
-// Stalled counts the requests in flight that are older than overdue microseconds and since which nothing was answered,
-// or so old that they must be lost.
+// Stalled counts the requests in flight that are presumed lost: those older than overdue microseconds without
+// an answer to any request since they were sent, and those older than LostFactor times overdue.
 func (r *Record) Stalled(now time.Duration, overdue float64) (n int) {
 	for _, sent := range r.InFlight {
 		age := estimate.Microseconds(now - sent)
@@ -89,5 +89,6 @@
 	return n
 }
 
-// Forget drops what is held against a target that began anew. Requests in flight and the last success stay.
+// Forget resets the penalty, the failures and the loss rate of a target that has restarted. The requests in flight and
+// the last success are preserved.
 func (r *Record) Forget() { r.Penalty, r.Failures, r.LossRate = 0, 0, 0 }
--- a/internal/control/suspicion/server.go
+++ b/internal/control/suspicion/server.go
@@ -7,21 +7,22 @@
 	"rooktrestle/internal/control/estimate"
 )
 
-// slowSamples is how many of its last responses must be slow for a server to count as slow; one may be missing.
+// slowSamples is the number of last responses that must all be slow for a server to count as slow; one fewer suffices
+// if no more were measured.
 const slowSamples = 4
 
-// Server is how requests to one server end: all of them, those of each class, and those over the path to its zone. One
-// class may be lost at a server that answers the others.
+// Server records how requests to one server end: all of them, those of each class, and those over the path to its zone.
+// A server may lose the requests of one class and answer those of the others.
 type Server struct {
 	Record
 	PerClass []Record
 	Path     *Path
-	Remote   bool             // in another zone: failures count against the path too
-	Recent   estimate.Samples // response times as measured, microseconds
-	Lost     int              // requests in flight taken for lost, as of the last Assess
+	Remote   bool             // in another zone: failures also count against the path
+	Recent   estimate.Samples // response times, not averaged, microseconds
+	Lost     int              // number of requests in flight that are presumed lost, as of the last Assess
 
-	ProbeFailed     bool // the last probe brought an error or nothing
-	ProbeUnanswered bool // the last probe brought nothing
+	ProbeFailed     bool // the last probe returned an error or was not answered
+	ProbeUnanswered bool // the last probe was not answered
 }
 
 // RecordSend adds a request of a class, sent at now.
@@ -31,24 +32,25 @@
 	s.PerClass[class].Sent(now)
 }
 
-// RecordEnd takes the request of a class that was sent at sent from those in flight.
+// RecordEnd removes the request of a class that was sent at sent from those in flight.
 func (s *Server) RecordEnd(class int, sent time.Duration) {
 	s.Ended(sent)
 	s.Path.Ended(sent)
 	s.PerClass[class].Ended(sent)
 }
 
-// Healthy reports whether the server may be trusted.
+// Healthy reports whether the server has no penalty and is neither unresponsive nor slow, and its path is usable.
 func (s *Server) Healthy() bool {
 	return s.Penalty == 0 && !s.Unresponsive && !s.Slow && s.Path.Usable()
 }
 
-// HealthyFor reports whether the server may be trusted with a class of requests.
+// HealthyFor reports whether the server is healthy, and a class of requests there has no penalty and is not
+// unresponsive.
 func (s *Server) HealthyFor(class int) bool {
 	return s.Healthy() && s.PerClass[class].Penalty == 0 && !s.PerClass[class].Unresponsive
 }
 
-// Fault is the record that makes the server unhealthy for a class, or nil if it is healthy.
+// Fault returns the record because of which the server is unhealthy for a class, or nil if it is healthy.
 func (s *Server) Fault(class int) *Record {
 	switch {
 	case !s.Healthy():
@@ -59,22 +61,23 @@
 	return nil
 }
 
-// PenaltyFor is the penalty of the server and of a class there.
+// PenaltyFor returns the sum of the penalties of the server and of one class there.
 func (s *Server) PenaltyFor(class int) float64 { return s.Penalty + s.PerClass[class].Penalty }
 
-// RecordAnswer notes an answer that took so many microseconds.
-func (s *Server) RecordAnswer(now time.Duration, took float64) {
-	s.Path.RecordAnswer(now, took)
-	s.Recent.Add(took)
+// RecordAnswer records an answer with its response time in microseconds.
+func (s *Server) RecordAnswer(now time.Duration, responseTime float64) {
+	s.Path.RecordAnswer(now, responseTime)
+	s.Recent.Add(responseTime)
 	s.LastSuccess = now
 	s.ProbeFailed = false
 	s.ProbeUnanswered = false
 	s.RecordSuccess()
 }
 
-// RecordClassFailure holds a failure against a class, and unless the server has answered others since then, against the
-// server. Half-open requests of the class are interval microseconds apart, and further each time: a server may lose
-// most of a class, and each half-open request costs its overdue time.
+// RecordClassFailure counts a failure against a class and, unless the server has answered other requests after since,
+// against the server. Half-open requests of the class are interval microseconds apart, and further apart with each
+// failure: a server may lose most requests of a class, and each lost half-open request delays its query by the overdue
+// time.
 func (s *Server) RecordClassFailure(class int, now, since time.Duration, interval float64) {
 	s.PerClass[class].RecordFailure(now, interval)
 	if s.LastSuccess <= since {
@@ -82,7 +85,7 @@
 	}
 }
 
-// RecordServerFailure holds a failure against the server, and against the path to another zone.
+// RecordServerFailure counts a failure against the server and, if it is in another zone, against the path.
 func (s *Server) RecordServerFailure(now time.Duration, interval float64) {
 	if s.Remote {
 		s.Path.RecordFailure()
@@ -90,12 +93,12 @@
 	s.Penalize(now, interval)
 }
 
-// Conditions are those under which a server is assessed.
+// Conditions are the parameters of Server.Assess.
 type Conditions struct {
-	Overdue           float64 // response time beyond which a request is overdue there, microseconds
+	Overdue           float64 // response time beyond which a request to this server is overdue, microseconds
 	MedianServiceTime float64 // of all servers, microseconds
 	Warm              bool    // only a warm server may count as slow
-	ProbesShared      bool    // clients share what their probes show: only then an unanswered probe counts
+	ProbesShared      bool    // instances share the results of probes: only then an unanswered probe counts
 }
 
 // Assess decides whether the server and its classes are unresponsive or slow.
@@ -112,10 +115,10 @@
 		slices.Min(s.Recent.Last(slowSamples)) > SlowFactor*c.MedianServiceTime
 }
 
-// RecentMean is the mean of the last responses by which a server counts as slow, in microseconds; 0: none.
+// RecentMean returns the mean of the last slowSamples response times in microseconds, or 0 if there are none.
 func (s *Server) RecentMean() float64 { return s.Recent.Mean(slowSamples) }
 
-// Restart forgets what an earlier process of the server showed.
+// Restart discards the response times and penalties of the server's previous process.
 func (s *Server) Restart() {
 	s.Recent = nil
 	s.Penalty = 0
--- a/internal/control/suspicion/suspicion_test.go
+++ b/internal/control/suspicion/suspicion_test.go
@@ -98,15 +98,15 @@
 		t.Error("usable after 20 failures with 10 requests in flight")
 	}
 	if p.AllowsHalfOpen(time.Second) {
-		t.Error("a half-open request beside ten in flight")
+		t.Error("a half-open request is allowed with ten requests in flight")
 	}
 	p.InFlight = nil
 	if !p.AllowsHalfOpen(time.Second) {
-		t.Error("no half-open request with none in flight")
+		t.Error("no half-open request is allowed with no request in flight")
 	}
 	p.RecordReachable()
 	if !p.Usable() {
-		t.Error("unusable though an error came back")
+		t.Error("unusable though an error was received")
 	}
 }
 
@@ -140,16 +140,16 @@
 func TestServer_FailureOfOneClass(t *testing.T) {
 	s := newServer()
 	s.LastSuccess = 20 * ms
-	s.RecordClassFailure(0, 30*ms, 10*ms, 1000) // answered others since the request was sent
+	s.RecordClassFailure(0, 30*ms, 10*ms, 1000) // others were answered since the request was sent
 	if !s.Healthy() || s.HealthyFor(0) || !s.HealthyFor(1) {
 		t.Error("a failure of one class must count against that class only")
 	}
 	if s.Fault(0) != &s.PerClass[0] || s.Fault(1) != nil {
-		t.Error("the fault is not that of the class")
+		t.Error("the fault is not the record of the class")
 	}
 	s.RecordClassFailure(0, 40*ms, 30*ms, 1000)
 	if s.Healthy() || s.Fault(1) != &s.Record || s.PenaltyFor(0) != 3 {
-		t.Errorf("a failure since which nothing was answered must count against the server: penalty %v",
+		t.Errorf("a failure without an answer since must count against the server: penalty %v",
 			s.PenaltyFor(0))
 	}
 }
@@ -158,7 +158,7 @@
 	s := newServer()
 	s.RecordServerFailure(0, 1000)
 	if s.Path.Penalty != 0 {
-		t.Error("a failure in the own zone counts against the path")
+		t.Error("a failure in the same zone counts against the path")
 	}
 	s.Remote = true
 	s.RecordServerFailure(0, 1000)
@@ -167,7 +167,7 @@
 	}
 	s.RecordAnswer(time.Second, 100e3)
 	if s.Path.Penalty != 0 || s.LastSuccess != time.Second {
-		t.Error("an answer must clear the path")
+		t.Error("an answer must reset the path's penalty")
 	}
 }
 
@@ -178,7 +178,7 @@
 	}
 	s.Assess(time.Second, Conditions{Overdue: 1e6, MedianServiceTime: 100e3, Warm: false, ProbesShared: false})
 	if s.Slow {
-		t.Error("a server that warms up counts as slow")
+		t.Error("a server that is warming up counts as slow")
 	}
 	s.Assess(time.Second, Conditions{Overdue: 1e6, MedianServiceTime: 100e3, Warm: true, ProbesShared: false})
 	if !s.Slow || s.RecentMean() != 300e3 {
@@ -187,7 +187,7 @@
 	s.ProbeUnanswered = true
 	s.Assess(time.Second, Conditions{Overdue: 1e6, MedianServiceTime: 100e3, Warm: true, ProbesShared: false})
 	if s.Unresponsive {
-		t.Error("an unanswered probe counts though probes are not shared")
+		t.Error("an unanswered probe counts though probe results are not shared")
 	}
 	s.Assess(time.Second, Conditions{Overdue: 1e6, MedianServiceTime: 100e3, Warm: true, ProbesShared: true})
 	if !s.Unresponsive {
@@ -205,6 +205,6 @@
 	s.RecordServerFailure(0, 1000)
 	s.Restart()
 	if s.Penalty != 0 || len(s.Recent) != 0 {
-		t.Error("a restart keeps what the earlier process showed")
+		t.Error("the penalty or response times of the previous process remain after a restart")
 	}
 }
