--- a/internal/control/slowstart/demand.go
+++ b/internal/control/slowstart/demand.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// DemandPeriods is over how many latency objectives the sender's own flow is averaged.
+	// DemandPeriods is the number of latency objectives over which the sender's own traffic is averaged.
 	DemandPeriods = 10
 
-	peakPeriods      = 100 // latency objectives over which the peak flow is remembered
-	warmupFlowFactor = 1.8 // how many times its part of the flow a server that warms up is owed
-	maxDemandFactor  = 2   // how many times the peak flow the parts offered may be for random assignment
+	peakPeriods     = 100 // latency objectives: time constant with which the peak decays
+	creditFactor    = 1.8 // credit of a server that is warming up, as a multiple of its share of the traffic
+	maxDemandFactor = 2   // upper limit of the parts offered for random assignment, as a multiple of the peak
 )
 
-// Demand measures a sender's own flow of parts. The counts fall with age, so each stands for the last DemandPeriods
-// latency objectives.
+// Demand measures the traffic of one sender, in parts. The counts decay exponentially, so each covers about the last
+// DemandPeriods latency objectives.
 type Demand struct {
 	Answered float64 // parts answered
 	Offered  float64 // parts that queries asked for
-	Peak     float64 // the most that Answered was, falling slowly
+	Peak     float64 // maximum of Answered, which decays slowly
 }
 
-// Decay ages the counts by the time passed.
-func (d *Demand) Decay(passed, objective time.Duration) {
-	fade := math.Exp(-estimate.Microseconds(passed) / estimate.Microseconds(DemandPeriods*objective))
-	d.Answered *= fade
-	d.Offered *= fade
-	peakFade := math.Exp(-estimate.Microseconds(passed) / estimate.Microseconds(peakPeriods*objective))
-	d.Peak = max(d.Answered, d.Peak*peakFade)
+// Decay reduces the counts by the elapsed time.
+func (d *Demand) Decay(elapsed, objective time.Duration) {
+	decay := math.Exp(-estimate.Microseconds(elapsed) / estimate.Microseconds(DemandPeriods*objective))
+	d.Answered *= decay
+	d.Offered *= decay
+	peakDecay := math.Exp(-estimate.Microseconds(elapsed) / estimate.Microseconds(peakPeriods*objective))
+	d.Peak = max(d.Answered, d.Peak*peakDecay)
 }
 
-// Owed is how many parts a warm server would be owed for the time passed, where the servers in use have together the
+// Owed returns the credit in parts that a warm server accrues in the elapsed time. The servers in use have the combined
 // capacity of so many warm ones.
-func (d *Demand) Owed(passed, objective time.Duration, warmServers float64) float64 {
-	return warmupFlowFactor * d.Answered / estimate.Microseconds(DemandPeriods*objective) / max(1, warmServers) *
-		estimate.Microseconds(passed)
+func (d *Demand) Owed(elapsed, objective time.Duration, warmServers float64) float64 {
+	return creditFactor * d.Answered / estimate.Microseconds(DemandPeriods*objective) / max(1, warmServers) *
+		estimate.Microseconds(elapsed)
 }
 
-// ExceedsPeak reports whether the shards of servers that have together the capacity of so many warm ones, each server
-// holding so many shards, are asked for more than a multiple of what warm servers were seen to answer.
+// ExceedsPeak reports whether more parts are offered than maxDemandFactor times the peak that warm servers were
+// observed to answer. It looks at servers that have the combined capacity of so many warm ones and so many shards each.
 func (d *Demand) ExceedsPeak(warmServers float64, shardsPerServer int) bool {
 	return d.Offered*float64(shardsPerServer) > maxDemandFactor*warmServers*d.Peak
 }
--- a/internal/control/slowstart/demand_test.go
+++ b/internal/control/slowstart/demand_test.go
@@ -10,7 +10,7 @@
 	d := Demand{Answered: 100, Offered: 50, Peak: 10}
 	d.Decay(0, time.Second)
 	if d.Peak != 100 {
-		t.Fatalf("peak %v, want what was answered", d.Peak)
+		t.Fatalf("peak %v, want the parts answered", d.Peak)
 	}
 	d.Decay(DemandPeriods*time.Second, time.Second)
 	if math.Abs(d.Answered-100/math.E) > 1e-9 || math.Abs(d.Offered-50/math.E) > 1e-9 {
@@ -24,11 +24,11 @@
 func TestDemand_Owed(t *testing.T) {
 	d := Demand{Answered: 100} // in ten seconds
 	got := d.Owed(time.Second, time.Second, 5)
-	if want := warmupFlowFactor * 10 / 5; math.Abs(got-want) > 1e-9 {
-		t.Errorf("%v parts owed, want %v", got, want)
+	if want := creditFactor * 10 / 5; math.Abs(got-want) > 1e-9 {
+		t.Errorf("credit of %v parts, want %v", got, want)
 	}
-	if most := d.Owed(time.Second, time.Second, 0); most > warmupFlowFactor*10+1e-9 {
-		t.Errorf("%v parts owed where no server is warm", most)
+	if most := d.Owed(time.Second, time.Second, 0); most > creditFactor*10+1e-9 {
+		t.Errorf("credit of %v parts where no server is warm", most)
 	}
 }
 
