--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet estimates response times, queues and rates of all servers together and of each, from the answers, load
-// reports and probes that one of many clients sees. It does no I/O and reads no clock: each call is given the time.
-// Times that are floating-point numbers are in microseconds.
+// Package fleet estimates response times, queue lengths and request rates, over all servers and of each one, from the
+// answers, load reports and probes that one of several instances observes. It does no I/O and reads no clock: the
+// caller passes the time. Times of type float64 are in microseconds.
 package fleet
 
 import (
@@ -13,54 +13,53 @@
 	"rooktrestle/internal/control/suspicion"
 )
 
-// MaxExtrapolated is the largest number of clients for which the requests of one stand for those of all: one of
-// many knows little of the others.
+// MaxExtrapolated is the largest number of instances for which the requests of one are representative of all: one of
+// many observes too little of what the others send.
 const MaxExtrapolated = 4
 
 const (
-	answerPeriods      = 2    // shortest latency objectives over which the rate of answers is taken
-	reportLifetime     = 3    // shortest objectives in which a reported queue goes two thirds of the way to the mean
-	assumedConcurrency = 4    // parts that a server is taken to serve at once: many, as reports may be late
-	maxWorkFactor      = 2.0  // a part's work is taken as at most this multiple of the median service time
-	longQueueDelay     = 0.2  // of the shortest objective: a queue with a longer delay is long
-	longQueueQuantile  = 0.75 // quantile of the queues lately reported that a wide request meets
-	minReports         = 4    // least number of servers whose queues, or of answers whose times, stand for all
+	answerPeriods      = 2    // shortest latency objectives over which the rate of answers is measured
+	reportLifetime     = 3    // shortest objectives: time constant with which a reported queue decays to the mean
+	assumedConcurrency = 4    // parts that a server is assumed to process at once: high, as reports may be delayed
+	maxWorkFactor      = 2.0  // upper limit of a part's estimated work, as a multiple of the median service time
+	longQueueDelay     = 0.2  // fraction of the shortest objective from which on a queue's delay counts as long
+	longQueueQuantile  = 0.75 // quantile of the recently probed queues that a wide request is assumed to meet
+	minSamples         = 4    // probed queues, or recent answers, needed for an estimate over all servers
 )
 
-// Options describe a fleet and its clients.
+// Options describe a fleet and the instances that send to it.
 type Options struct {
-	Instances    int           // clients that send to the servers, this one included; at least 1
+	Instances    int           // that send to the servers, this one included; at least 1
 	Objective    time.Duration // shortest latency objective
-	ProbesShared bool          // the clients share what their probes show
+	ProbesShared bool          // the instances share the results of their probes
 	SlowStart    slowstart.Limits
 }
 
-// Fleet is what one client knows of the servers. Make it with New; it is not safe for concurrent use.
+// Fleet stores one instance's estimates of the servers. Make it with New; it is not safe for concurrent use.
 type Fleet struct {
-	estimate.Latency                  // of all servers
-	Servers           []*Server       // the owner keeps it up to date, in an order that does not depend on chance
+	estimate.Latency                  // over all servers
+	Servers           []*Server       // maintained by the owner, in a deterministic order
 	Averages          estimate.Mean   // over the measured servers, as of the last Assess
-	RecentAnswers     estimate.Window // when parts were answered lately
+	RecentAnswers     estimate.Window // when parts were answered recently
 	Demand            slowstart.Demand
-	MedianServiceTime float64 // of the servers, as of the last Assess, microseconds; 0: not known
+	MedianServiceTime float64 // of the servers, as of the last Assess, microseconds; 0: unknown
 	Options           Options
 	RemotePaths       []*suspicion.Path // to the other zones
 }
 
-// New returns the estimates before anything was measured.
+// New returns a Fleet with the estimates that apply before any measurement.
 func New(options Options) Fleet {
 	return Fleet{Latency: estimate.NewLatency(estimate.Microseconds(options.Objective)), Options: options}
 }
 
-// Extrapolates reports whether clients are so few that own requests stand for those of all.
+// Extrapolates reports whether there are so few instances that the requests of this one are representative of all.
 func (f *Fleet) Extrapolates() bool { return f.Options.Instances <= MaxExtrapolated }
 
-// Assess brings the estimates up to date and decides which servers and paths are unresponsive or slow. Call it
-// once a turn.
+// Assess updates the estimates and decides which servers and paths are unresponsive or slow. Call it once a turn.
 func (f *Fleet) Assess(now time.Duration) {
 	f.RecentAnswers.Since(now - f.answerPeriod())
 	f.Averages = f.meanAverages()
-	f.MedianServiceTime = f.serviceTime()
+	f.MedianServiceTime = f.medianServiceTime()
 	for _, s := range f.Servers {
 		capacity := f.Capacity(s, now)
 		s.Assess(now, suspicion.Conditions{
@@ -70,14 +69,15 @@
 			ProbesShared:      f.Options.ProbesShared,
 		})
 	}
-	// A fault that all servers of another zone show is one of the path there: it is cut, slow, or loses everything.
-	// The servers are avoided together, and one part at a time tests the path.
+	// If all servers of another zone show the same fault, it is assumed to be one of the network path to that zone,
+	// which is cut, slow, or loses all messages. Its servers are avoided together, and one part at a time tests the
+	// path.
 	for _, path := range f.RemotePaths {
 		path.Assess(now, &f.Latency, f.MedianServiceTime)
 	}
 }
 
-// meanAverages are those over the measured servers; before any was measured, the shortest objective.
+// meanAverages returns the mean over the measured servers; if none was measured yet, the shortest objective.
 func (f *Fleet) meanAverages() estimate.Mean {
 	objective := estimate.Microseconds(f.Options.Objective)
 	mean := estimate.Mean{Averages: estimate.Averages{Latency: objective, ServiceTime: objective}}
@@ -89,8 +89,8 @@
 	return mean
 }
 
-// serviceTime is the median of the servers' service times: no answer comes sooner.
-func (f *Fleet) serviceTime() float64 {
+// medianServiceTime returns the median of the servers' service times: no answer arrives sooner.
+func (f *Fleet) medianServiceTime() float64 {
 	var times []float64
 	for _, s := range f.Servers {
 		if s.Listed && len(s.Recent) > 0 && s.Path.Usable() {
@@ -100,8 +100,9 @@
 	return estimate.Median(times)
 }
 
-// AveragesOf are a server's own averages, or while it is unmeasured the mean of the known ones. A reported queue goes
-// toward that mean with its age: one client of many may have heard of it many queues ago.
+// AveragesOf returns a server's own averages, or while it is unmeasured the mean over the measured servers. A reported
+// queue decays toward that mean with its age: with many instances, a report may be older than the time in which many
+// such queues are drained.
 func (f *Fleet) AveragesOf(s *Server, now time.Duration) estimate.Averages {
 	mean := f.Averages.Averages
 	if s.Measured {
@@ -115,66 +116,72 @@
 	return mean
 }
 
-// RecordAnswer takes in the response time of one of the parts of a request.
-func (f *Fleet) RecordAnswer(s *Server, now time.Duration, took float64, parts int) {
-	s.RecordAnswer(now, took)
+// RecordAnswer records the response time of one part of a request that has so many parts.
+func (f *Fleet) RecordAnswer(s *Server, now time.Duration, responseTime float64, parts int) {
+	s.RecordAnswer(now, responseTime)
 	if s.Measured {
-		s.Averages.Record(took, s.Recent.Min())
+		s.Averages.Record(responseTime, s.Recent.Min())
 	} else {
 		queue := f.AveragesOf(s, now).Queue
-		s.Averages = estimate.Averages{Latency: took, ServiceTime: s.Recent.Min(), Queue: queue}
+		s.Averages = estimate.Averages{Latency: responseTime, ServiceTime: s.Recent.Min(), Queue: queue}
 		s.Measured = true
 	}
 	f.Demand.Answered++
 	f.RecentAnswers.Add(now, now-f.answerPeriod())
-	f.Record(took, parts)
+	f.Record(responseTime, parts)
 }
 
-// RecordUnanswered takes in the time of an attempt that was not answered: its answer would have taken longer.
-func (f *Fleet) RecordUnanswered(s *Server, took float64, parts int) {
+// RecordUnanswered records how long an attempt was in flight that ended without an answer: its answer would have taken
+// longer.
+func (f *Fleet) RecordUnanswered(s *Server, elapsed float64, parts int) {
 	if s.Measured {
-		s.RecordUnanswered(took)
+		s.RecordUnanswered(elapsed)
 	}
-	if took > f.Mean && s.Healthy() {
-		f.Record(took, parts)
+	if elapsed > f.Mean && s.Healthy() {
+		f.Record(elapsed, parts)
 	}
-	if took > suspicion.SlowFactor*f.serviceTime() {
-		s.Recent.Add(took) // or a server so slow that none of its answers is waited for never shows it
+	if elapsed > suspicion.SlowFactor*f.medianServiceTime() {
+		s.Recent.Add(elapsed) // else a server whose attempts are all canceled would never count as slow
 	}
 }
 
-// answerPeriod is the time over which the rate of answers is taken, and for which reports count as fresh.
+// answerPeriod is the time over which the rate of answers is measured, and for which load reports count as fresh.
 func (f *Fleet) answerPeriod() time.Duration { return answerPeriods * f.Options.Objective }
 
-// InitialMean is the mean response time before anything was measured.
+// InitialMean is the mean response time that is assumed before any measurement.
 func (f *Fleet) InitialMean() float64 {
 	return estimate.Microseconds(f.Options.Objective) * estimate.InitialMean
 }
 
-// SlowestResponseTime is the response time of the slowest of several parts, so many deviations beyond the mean.
+// SlowestResponseTime is the response time of the slowest of several parts, which is so many mean deviations beyond the
+// mean.
 func (f *Fleet) SlowestResponseTime(deviations float64) float64 {
 	return f.Mean + deviations*f.Deviation
 }
 
-// SlowestResponseTimeWithQueue is the response time of the slowest part where the long queues are delay long. Own responses count
-// while they are as fresh as the queues reported; a few stuck parts say nothing of the others.
+// SlowestResponseTimeWithQueue is the response time of the slowest part where long queues delay parts by delay. A
+// measured mean above the initial one counts only if enough answers are as fresh as the probed queues: a few delayed
+// parts are not representative of the others.
 func (f *Fleet) SlowestResponseTimeWithQueue(deviations, delay float64) float64 {
 	mean := f.Mean
-	if len(f.RecentAnswers) < minReports {
+	if len(f.RecentAnswers) < minSamples {
 		mean = min(mean, f.InitialMean())
 	}
-	// The delay is a quantile; that of the slowest part has the same exponential tail.
+	// delay is the longQueueQuantile of the delays. The slowest part's delay is derived from it by assuming the same
+	// exponential tail as that of response times.
 	delay *= max(1, deviations/estimate.TailFactor/-math.Log(1-longQueueQuantile))
 	return mean + deviations*min(f.Deviation, mean*estimate.InitialDeviation) + delay
 }
 
-// ExpectedResponseTime is how long a new request of a class may take by Little's law: the requests in flight at healthy
-// servers, divided by the rate at which these answer. What is in flight falls as soon as less is sent, so
-// rejections do not cause further rejections. The number in flight is the median of fresh load reports, as a few
-// servers may hold most of the requests, with what was sent since; or own requests, where clients are few. Where
-// neither is known measured is false, and the result is slowest, the recent response time of the slowest part.
-// Each healthy server is taken to be worth at least one core.
-func (f *Fleet) ExpectedResponseTime(now time.Duration, class, parts int, slowest float64) (took float64, measured bool) {
+// ExpectedResponseTime estimates by Little's law how long a new request of a class will take: the requests in flight at
+// healthy servers, divided by the rate at which these answer. The number in flight falls as soon as less is sent, so
+// rejections do not cause further rejections. It is the median of fresh load reports, each with what was sent since,
+// because a few servers may have most of the requests; or it follows from own requests, if instances are few. If
+// neither is available, measured is false and the result is slowest, the recent response time of the slowest part. Each
+// healthy server is assumed to have the capacity of at least one core.
+func (f *Fleet) ExpectedResponseTime(
+	now time.Duration, class, parts int, slowest float64,
+) (expected float64, measured bool) {
 	instances := float64(f.Options.Instances)
 	own := 0.0
 	capacity := 0.0
@@ -199,5 +206,6 @@
 	return (inFlight + float64(parts)/capacity) / rate * slowest / f.Mean, true
 }
 
-// ForgetExcess moves the estimates toward those of an idle fleet, for when requests are rejected and bring no answers.
+// ForgetExcess moves the estimates toward those of an idle fleet. Call it when a request is rejected, as rejected
+// requests bring no answers that would correct the estimates.
 func (f *Fleet) ForgetExcess() { f.Forget(min(f.MedianServiceTime, f.InitialMean())) }
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// newFleet returns a fleet of warm servers that are listed, one class each, and one of so many clients.
+// newFleet returns the estimates of one of so many instances for warm, listed servers with one class each.
 func newFleet(instances, servers int) *Fleet {
 	f := New(Options{
 		Instances: instances, Objective: time.Second, ProbesShared: instances > MaxExtrapolated,
@@ -66,11 +66,11 @@
 	mean := f.Mean
 	f.RecordUnanswered(s, 50e3, 1)
 	if s.Latency != 100e3 || f.Mean != mean || len(s.Recent) != 1 {
-		t.Errorf("latency %v, mean %v: a quick one shows nothing", s.Latency, f.Mean)
+		t.Errorf("latency %v, mean %v: a short attempt without an answer must change nothing", s.Latency, f.Mean)
 	}
 	f.RecordUnanswered(s, 900e3, 1)
 	if s.Latency <= 100e3 || f.Mean <= mean || len(s.Recent) != 2 {
-		t.Errorf("latency %v, mean %v: a slow one must raise them", s.Latency, f.Mean)
+		t.Errorf("latency %v, mean %v: a long attempt without an answer must raise them", s.Latency, f.Mean)
 	}
 }
 
@@ -78,11 +78,11 @@
 	now := time.Hour
 	few := newFleet(2, 2)
 	if _, measured := few.ExpectedResponseTime(now, 0, 1, 1e6); !measured {
-		t.Error("own requests of few clients do not stand for all")
+		t.Error("one of few instances must extrapolate from its own requests")
 	}
 	many := newFleet(80, 2)
-	if took, measured := many.ExpectedResponseTime(now, 0, 1, 1e6); measured || took != 1e6 {
-		t.Errorf("%v, %v: one of many without load reports must go by recent responses", took, measured)
+	if responseTime, measured := many.ExpectedResponseTime(now, 0, 1, 1e6); measured || responseTime != 1e6 {
+		t.Errorf("%v, %v: one of many instances without load reports must use response times", responseTime, measured)
 	}
 	many.Servers[0].RecordLoad(now-time.Second, 3, 6)
 	many.Servers[0].RecordSend(0, now)
@@ -99,14 +99,14 @@
 }
 
 func TestFleet_QueueDelays(t *testing.T) {
-	f := newFleet(80, minReports)
+	f := newFleet(80, minSamples)
 	now := time.Hour
 	for _, s := range f.Servers[1:] {
 		s.ProbedQueue = 8
 		s.ProbedQueueAt = now
 	}
 	if _, measured := f.ObservedQueueDelay(now); measured {
-		t.Error("too few probed queues stand for all")
+		t.Error("a queue delay was estimated from too few probed queues")
 	}
 	f.Servers[0].ProbedQueue = 8
 	f.Servers[0].ProbedQueueAt = now
@@ -127,7 +127,7 @@
 	}
 	f.Options.ProbesShared = false
 	if f.QueueDelay(s, now) != 0 {
-		t.Error("a queue delay where queues are not shared")
+		t.Error("a queue delay, though probe results are not shared")
 	}
 }
 
@@ -138,7 +138,7 @@
 	s.QueueWasLong = true
 	s.ReportedAt = now
 	if !f.Backlogged(s, now+time.Second) || f.Backlogged(s, now+reportLifetime*time.Second) {
-		t.Error("a long queue must count for some time and no longer")
+		t.Error("a reported long queue must count for reportLifetime and no longer")
 	}
 }
 
@@ -169,14 +169,14 @@
 	f.Demand.Answered = 1e6
 	f.EarnSlowStart(now, 10*ms)
 	if !f.SlowStartAllows(s, now) {
-		t.Error("nothing owed of a large flow")
+		t.Error("no credit despite a high rate of answers")
 	}
 	f.RecordSend(s, 0, now)
 	if len(s.InFlight) != 1 || f.SlowStartAllows(s, now) {
-		t.Errorf("%d in flight, and another is allowed at once", len(s.InFlight))
+		t.Errorf("%d in flight, and another part is allowed immediately", len(s.InFlight))
 	}
 	if few := newFleet(2, 1); few.Extrapolates() == f.Extrapolates() {
-		t.Error("few and many clients alike")
+		t.Error("extrapolation does not depend on the number of instances")
 	}
 }
 
@@ -206,8 +206,8 @@
 			}
 		})
 	}
-	early := newFleet(80, 1) // the clock begins at 0, and no report came
+	early := newFleet(80, 1) // the clock starts at 0, and no report was received
 	if _, measured := early.ExpectedResponseTime(time.Second, 0, 1, 1e6); measured {
-		t.Error("a server that never reported counts as idle")
+		t.Error("a server without a load report counts as idle")
 	}
 }
--- a/internal/control/fleet/warmup.go
+++ b/internal/control/fleet/warmup.go
@@ -7,7 +7,7 @@
 	"rooktrestle/internal/control/estimate"
 )
 
-// Capacity is the least fraction of its capacity that a server has at now.
+// Capacity is the least fraction of its full capacity that a server has at now: 1 unless it is warming up.
 func (f *Fleet) Capacity(s *Server, now time.Duration) float64 {
 	return f.Options.SlowStart.Capacity(&s.SlowStart, now)
 }
@@ -23,21 +23,21 @@
 	f.Options.SlowStart.RecordSend(&s.SlowStart, now)
 }
 
-// EarnSlowStart gives servers that warm up their parts of the own flow since the last call: what a warm one gets, by
-// capacity. Where clients are few, the limits of the slow start suffice.
-func (f *Fleet) EarnSlowStart(now, passed time.Duration) {
-	f.Demand.Decay(passed, f.Options.Objective)
+// EarnSlowStart credits servers that are warming up with a share of this instance's own traffic in the elapsed time:
+// the share of a warm server, scaled by their capacity. If instances are few, the limits of the slow start suffice.
+func (f *Fleet) EarnSlowStart(now, elapsed time.Duration) {
+	f.Demand.Decay(elapsed, f.Options.Objective)
 	if f.Extrapolates() || !slices.ContainsFunc(f.Servers, func(s *Server) bool { return f.Capacity(s, now) < 1 }) {
 		return
 	}
-	warm := 0.0
+	warmServers := 0.0 // the combined capacity, in warm servers
 	for _, s := range f.Servers {
 		if s.Listed && s.Healthy() {
-			warm += f.Capacity(s, now)
+			warmServers += f.Capacity(s, now)
 		}
 	}
-	owed := f.Demand.Owed(passed, f.Options.Objective, warm)
+	credit := f.Demand.Owed(elapsed, f.Options.Objective, warmServers)
 	for _, s := range f.Servers {
-		f.Options.SlowStart.AddCredit(&s.SlowStart, now, owed)
+		f.Options.SlowStart.AddCredit(&s.SlowStart, now, credit)
 	}
 }
