--- a/internal/control/outlier/message_test.go
+++ b/internal/control/outlier/message_test.go
@@ -8,12 +8,12 @@
 	"rooktrestle/internal/control/gossip"
 )
 
-// Processes of both versions run side by side during an upgrade, so the bytes must not change.
+// Processes of two versions run side by side during an upgrade, so the encoding must not change.
 func TestMessage_OfAnEarlierVersionIsDecodedAndEncodedAlike(t *testing.T) {
-	// Written by commit b803164 (Table.Word, package internal/decide/outlier) one hour after the start of an
+	// Encoded by commit b803164 (Table.Word, package internal/decide/outlier) one hour after the start of an
 	// aggregator of zone 2: 20 failures and 2 answers of server leaf-a, 3 failures of leaf-b.
-	const written = "4cee806db20271b6e0abf272b6e23e30"
-	datagram, err := hex.DecodeString(written)
+	const previousMessage = "4cee806db20271b6e0abf272b6e23e30"
+	datagram, err := hex.DecodeString(previousMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,12 +45,12 @@
 	endAttempts(table, 3, "leaf-b", 0, Failed)
 	table.Update(start)
 	endAttempts(table, 2, "leaf-a", 0, Answered)
-	if got := hex.EncodeToString(table.NextMessage(start)); got != written {
-		t.Errorf("the same observations are encoded as %s, want %s", got, written)
+	if got := hex.EncodeToString(table.NextMessage(start)); got != previousMessage {
+		t.Errorf("the same observations are encoded as %s, want %s", got, previousMessage)
 	}
 }
 
-// FuzzMessage checks that random datagrams break nothing, and that what is decoded encodes to the same bytes.
+// FuzzMessage checks that random datagrams cause no panic, and that a decoded message encodes to the same bytes.
 func FuzzMessage(f *testing.F) {
 	f.Add(encodeMessage(start, 1, []observation{{key: 7, failed: 3, answered: 2}}))
 	f.Add([]byte("L noise"))
--- a/internal/control/outlier/outlier.go
+++ b/internal/control/outlier/outlier.go
@@ -1,14 +1,14 @@
 // Package outlier implements outlier detection shared by all aggregators of a zone. Where there are many
-// aggregators with little traffic each, every one of them sends a part to a given server only once in seconds, so
-// each would have to lose parts of its own before it noticed that a server hangs or fails. The aggregators
-// therefore tell each other, in gossip messages, at which servers attempts failed. A server at which far more of
-// them fail than at the other servers is an outlier: it is ejected, keeps a small share of its traffic as health
-// checks, and gets its traffic back in steps while these are answered.
+// aggregators with little traffic each, every one of them sends a part to a given server only once in several
+// seconds, so each would have to lose parts of its own before it detected that a server hangs or fails. The
+// aggregators therefore report in gossip messages at which servers attempts failed. A server at which far more
+// attempts fail than at the others is an outlier: it is ejected, receives only a small fraction of its traffic, which
+// serves as health checks, and is restored in steps while these attempts are answered.
 //
-// A server that fails half of its attempts or more gets that small share only, as long as the shard has another
-// replica: every failure uses up one of the few attempts of a part. A server that fails fewer gets a larger share.
+// A server that fails half of its attempts or more receives only that small fraction, as long as the shard has another
+// replica: every failure uses up one of the few attempts of a part. A server that fails fewer receives a larger one.
 // Observations of other aggregators are hints: one that is lost, delayed, duplicated or forged changes a traffic
-// share and breaks no invariant.
+// fraction and violates no invariant.
 //
 // A Table does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use.
 package outlier
@@ -21,17 +21,17 @@
 	"rooktrestle/internal/control/gossip"
 )
 
-// Config holds the parameters of a Table. PlatformConfig derives them from the settings.
+// Config contains the parameters of a Table. PlatformConfig derives them from the settings.
 type Config struct {
-	DecayTime     time.Duration // time constant of the failure counts: after it 1/e of a failure still counts
-	OverdueAfter  time.Duration // a canceled attempt counts as failed if it was in flight for that long
-	MaxMessageAge time.Duration // gossip messages older than that, or from further in the future, are ignored
+	DecayTime     time.Duration // time constant of the exponential decay of failure counts
+	OverdueAfter  time.Duration // a canceled attempt counts as failed if it was in flight for at least that long
+	MaxMessageAge time.Duration // gossip messages older than that, or further in the future, are ignored
 	Zone          int           // of this aggregator; messages of other zones, whose path may be cut, are ignored
 	Aggregators   int           // in the zone, this one included
 }
 
 // PlatformConfig returns the configuration for one of so many aggregators in a zone. latencyObjective is the
-// shortest one of the settings' classes.
+// shortest objective of all classes in the settings.
 func PlatformConfig(latencyObjective time.Duration, zone, aggregators int) Config {
 	return Config{
 		DecayTime:     4 * latencyObjective,
@@ -43,36 +43,36 @@
 }
 
 const (
-	minFailures      = 4   // decayed failures that make an outlier where the other servers have none
-	baselineFactor   = 4   // and how many times the baseline are needed on top of them
+	minFailures      = 4   // decayed failures that make a server an outlier if the baseline is 0
+	baselineFactor   = 4   // failures needed in addition, as a multiple of the baseline
 	baselineQuantile = 0.4 // of the servers' failure counts: up to half of the servers may fail together with a zone
-	quietDecayTimes  = 8   // decay times without a failure after which an outlier moves up to the first step
+	quietDecayTimes  = 8   // decay times without a failure after which a server at the lowest step moves up one
 )
 
-// A recoveryStep is the traffic fraction of an ejected server whose answer rate is below a limit.
+// recoveryStep is the traffic fraction of an ejected server whose answer rate is below a limit.
 type recoveryStep struct {
 	belowAnswerRate float64
 	fraction        float64
 }
 
-// recoverySteps are in ascending order; a server whose answer rate is not below the last limit is no outlier any
-// more. The first fraction amounts to about one part per second of all aggregators together: a search has some fifty
-// parts and needs each of them.
+// recoverySteps are in ascending order; a server whose answer rate is not below the last limit is no longer ejected.
+// The first fraction amounts to about one part per second of all aggregators together: a search has about fifty parts
+// and needs each of them.
 var recoverySteps = [...]recoveryStep{
 	{belowAnswerRate: 0.1, fraction: 0.005},
 	{belowAnswerRate: 0.25, fraction: 0.01},
 	{belowAnswerRate: 0.85, fraction: 0.3},
 }
 
-// The answer rate of an ejected server is an exponentially weighted moving average of its outcomes. It starts in
-// the middle, because a server with many failures may be slow as well as down: six failures or nine answers from
-// there decide.
+// The answer rate of an ejected server is an exponentially weighted moving average of its outcomes. It starts in the
+// middle, because a server with many failures may be either slow or down. From there, six failures lower it below 0.25,
+// and ten answers restore the server.
 const (
 	outcomeWeight     = 0.125
 	initialAnswerRate = 0.5
 )
 
-// Outcome is how an attempt ended, as far as that says something about its server.
+// Outcome is how an attempt ended, as far as that is evidence about its server.
 type Outcome int
 
 // Outcomes of an attempt.
@@ -80,8 +80,8 @@
 	Answered Outcome = iota
 	Failed           // an error, a connection reset, no connection, or no answer before the timeout
 	Canceled         // by the aggregator; counts as failed if the attempt was overdue
-	Rejected         // load was shed; counts as failed if the server is ejected, because a hanging server fills up
-	NotSent          // says nothing about the server
+	Rejected         // by load shedding; counts as failed if the server is ejected: the queue of a hanging one is full
+	NotSent          // no evidence about the server
 )
 
 type server struct {
@@ -90,26 +90,26 @@
 	failures    float64       // decayed count, as of decayedAt
 	decayedAt   time.Duration
 	lastFailure time.Duration
-	lastAnswer  time.Duration // to this aggregator
+	lastAnswer  time.Duration // that this aggregator received
 	ejected     bool
-	answerRate  float64     // of an ejected server
-	fraction    float64     // of its traffic, as of the last Update; 1: all of it
+	answerRate  float64     // moving average, of an ejected server
+	fraction    float64     // TrafficFraction as of the last Update
 	pending     observation // by this aggregator, for its next message; the key is always set
-	queued      bool        // pending is in Table.pending
+	queued      bool        // the server is in Table.pending
 }
 
-// Table holds what is known of each server since its Add; Remove and Retain delete servers.
+// Table stores the failures and the traffic fraction of each server since its Add; Remove and Retain delete servers.
 type Table struct {
 	config  Config
 	servers map[uint32]*server // by gossip key
 	order   []*server          // in the order of Add
-	pending []*server          // with observations that are not sent yet, oldest first
-	budget  gossip.Budget      // of messages to the other aggregators
-	changed bool               // a failure, or an answer of an ejected server, came since the last Update
-	// nextUpdate is when Update has something to do even if nothing changed: failure counts decay.
+	pending []*server          // with observations that were not sent yet, oldest first
+	budget  gossip.Budget      // for messages to the other aggregators
+	changed bool               // a failure, or an answer of an ejected server, was recorded since the last Update
+	// nextUpdate is when Update must run even if nothing was recorded, because failure counts decay.
 	nextUpdate time.Duration
 
-	// ObservationsReceived counts the observations on servers of the table that other aggregators sent.
+	// ObservationsReceived counts the observations of servers in the table that other aggregators sent.
 	ObservationsReceived uint64
 }
 
@@ -122,9 +122,9 @@
 	}
 }
 
-// Add adds a server whose process started at started; 0 stands for an unknown time long ago. A server that is in
-// the table stays as it is, unless started is later than before: then its process is a new one, and what was known
-// is deleted.
+// Add adds a server whose process started at started; 0 stands for an unknown time long ago. A server that is already
+// in the table is not changed, unless started is later than the previous one: then its process is a new one, and what
+// was recorded of the old one is deleted.
 func (t *Table) Add(id string, started time.Duration) {
 	if s := t.find(id); s != nil && started <= s.started {
 		return
@@ -156,7 +156,7 @@
 	}
 }
 
-// delete deletes a server; nil is none.
+// delete deletes a server; nil has no effect.
 func (t *Table) delete(s *server) {
 	if s == nil {
 		return
@@ -167,7 +167,7 @@
 	t.pending = slices.DeleteFunc(t.pending, isSame)
 }
 
-// AccrueBudget allows messages in proportion to the parts that this aggregator accepted since the last call.
+// AccrueBudget adds to the budget of messages for the parts that this aggregator accepted since the last call.
 func (t *Table) AccrueBudget(parts int) { t.budget.Earn(parts) }
 
 // AttemptEnded records the outcome of an attempt that this aggregator sent at sent. Servers that are not in the
@@ -197,11 +197,11 @@
 	}
 }
 
-// effectiveOutcome turns the outcomes that stand for a failure into Failed.
+// effectiveOutcome returns Failed for canceled and rejected attempts that count as failed, else the unchanged outcome.
 func (t *Table) effectiveOutcome(s *server, now, sent time.Duration, outcome Outcome) Outcome {
 	switch outcome {
 	case Canceled:
-		// A server that answered other attempts since then is up: only that part was slow.
+		// A server that answered other attempts after the sending is up: only that part was slow.
 		overdue := now-sent >= t.config.OverdueAfter
 		if overdue && s.lastAnswer <= sent {
 			return Failed
@@ -215,7 +215,7 @@
 }
 
 // Receive records the observations in another aggregator's message. A message that is malformed, too old or from
-// another zone is ignored, and so are observations on servers that are not in the table: gossip adds no server.
+// another zone is ignored, and so are observations of servers that are not in the table: gossip adds no server.
 func (t *Table) Receive(now time.Duration, datagram []byte) {
 	m, ok := decodeMessage(now, datagram)
 	if !ok || m.zone != t.config.Zone&0xff || m.age > t.config.MaxMessageAge || m.age < -t.config.MaxMessageAge {
@@ -243,14 +243,14 @@
 	}
 }
 
-// decay brings a server's failure count up to now.
+// decay updates a server's failure count to now.
 func (t *Table) decay(s *server, now time.Duration) {
 	s.failures *= math.Exp(-float64(now-s.decayedAt) / float64(t.config.DecayTime))
 	s.decayedAt = now
 }
 
-// Update ejects and restores servers by what was recorded since the last call, and returns the ids of those whose
-// TrafficFraction changed, in the order of Add. It is cheap where nothing was recorded.
+// Update ejects and restores servers according to what was recorded since the last call, and returns the ids of those
+// whose TrafficFraction changed, in the order of Add. It is cheap if nothing was recorded.
 func (t *Table) Update(now time.Duration) (changed []string) {
 	if !t.changed && now < t.nextUpdate {
 		return nil
@@ -271,7 +271,7 @@
 	return changed
 }
 
-// ejectionThreshold brings all failure counts up to now and returns the one from which on a server is an outlier.
+// ejectionThreshold updates all failure counts to now and returns the lowest count that makes a server an outlier.
 func (t *Table) ejectionThreshold(now time.Duration) float64 {
 	var failures []float64
 	for _, s := range t.order {
@@ -281,12 +281,12 @@
 	return minFailures + baselineFactor*quantile(failures, baselineQuantile)
 }
 
-// updateFraction restores a server that recovered and returns the fraction of its traffic that it is to get.
+// updateFraction restores a server that has recovered and returns its new traffic fraction.
 func (t *Table) updateFraction(s *server, now time.Duration) float64 {
 	if !s.ejected {
 		return 1
 	}
-	// Nothing was sent to it, or the messages with its answers were lost: it gets a few more attempts.
+	// Nothing was sent to the server, or the messages with its answers were lost: it receives a few more attempts.
 	if s.answerRate < recoverySteps[0].belowAnswerRate && now-s.lastFailure > quietDecayTimes*t.config.DecayTime {
 		s.answerRate = recoverySteps[0].belowAnswerRate
 		s.lastFailure = now
@@ -296,14 +296,14 @@
 			return step.fraction
 		}
 	}
-	// The count starts over: it takes as many failures again to eject the server.
+	// The failure count is reset: it takes as many failures as before to eject the server again.
 	s.ejected = false
 	s.failures = 0
 	return 1
 }
 
-// TrafficFraction returns the fraction of its usual traffic that a server is to get, from 0 to 1: 1 unless it is
-// ejected. Servers that are not in the table get all of it.
+// TrafficFraction returns the fraction of its usual traffic that a server should receive, from 0 to 1. It is 1 for
+// servers that are not ejected or not in the table.
 func (t *Table) TrafficFraction(id string) float64 {
 	if s := t.find(id); s != nil {
 		return s.fraction
@@ -321,8 +321,8 @@
 	return count
 }
 
-// NextMessage returns a message with the oldest pending observations, to be sent to all other aggregators, and
-// takes it from the budget. It returns nil if nothing is pending or the budget is too small.
+// NextMessage returns a message with the oldest pending observations, to be sent to all other aggregators, and deducts
+// it from the budget. It returns nil if nothing is pending or the budget is too small.
 func (t *Table) NextMessage(now time.Duration) []byte {
 	count := min(len(t.pending), gossip.MaxObservations)
 	if count == 0 || !t.budget.Spend(count) {
--- a/internal/control/outlier/outlier_test.go
+++ b/internal/control/outlier/outlier_test.go
@@ -11,7 +11,8 @@
 
 const (
 	ms = time.Millisecond
-	// start is when most tests begin: late enough that nothing is close to the process's start.
+	// start is the time at which most tests begin. It is long after the zero of the clock, which stands for an unknown
+	// time.
 	start = time.Hour
 )
 
@@ -28,14 +29,14 @@
 
 func serverID(i int) string { return fmt.Sprint("s", i) }
 
-// endAttempts records a number of attempts that took a time and ended at start with the same outcome.
-func endAttempts(table *Table, count int, id string, took time.Duration, outcome Outcome) {
+// endAttempts records a number of attempts that were in flight for elapsed and ended at start with the same outcome.
+func endAttempts(table *Table, count int, id string, elapsed time.Duration, outcome Outcome) {
 	for range count {
-		table.AttemptEnded(start, id, start-took, outcome)
+		table.AttemptEnded(start, id, start-elapsed, outcome)
 	}
 }
 
-// exchangeMessages delivers every aggregator's next message to all others and returns how many messages there were.
+// exchangeMessages delivers every aggregator's next message to all others and returns the number of messages.
 func exchangeMessages(now time.Duration, tables []*Table) (messages int) {
 	for _, sender := range tables {
 		datagram := sender.NextMessage(now)
@@ -55,8 +56,8 @@
 	return messages
 }
 
-// Aggregators of which each loses a few parts at a server eject it together, and so do those that lost none there.
-// Once it answers the attempts of its remaining share, all of them restore it in steps.
+// If each of several aggregators loses a few parts at a server, all of them eject it, and so do those that lost none
+// there. Once it answers the attempts that it still receives, all of them restore it in steps.
 func TestTable_HangingServerIsEjectedByAllAndRestoredInSteps(t *testing.T) {
 	tables := []*Table{newTable(), newTable(), newTable(), newTable(), newTable(), newTable()}
 	now := start
@@ -91,11 +92,12 @@
 	now += 50 * ms
 	answering.AttemptEnded(now, "s3", now-50*ms, Answered)
 	if answering.NextMessage(now) != nil {
-		t.Error("an answer of a server that is not ejected was sent")
+		t.Error("an observation of an answer was sent though the server is not ejected")
 	}
 }
 
-// A server whose failures just reach the threshold may be slow only: it keeps a good share until its outcomes decide.
+// A server whose failures just reach the threshold may only be slow: it receives the largest fraction of the recovery
+// steps until further outcomes decide.
 func TestTable_SlowServerKeepsMostOfItsShare(t *testing.T) {
 	table := newTable()
 	endAttempts(table, minFailures, "s3", 300*ms, Canceled)
@@ -126,7 +128,7 @@
 	}
 }
 
-// Failures that all servers have alike make none an outlier: in a burst of load all answers are late.
+// If all servers have the same number of failures, none is an outlier: in a load peak all answers are overdue.
 func TestTable_FailuresOfAllServersEjectNone(t *testing.T) {
 	table := newTable()
 	for i := range 20 {
@@ -134,28 +136,28 @@
 	}
 	table.Update(start)
 	if table.EjectedCount() != 0 {
-		t.Fatalf("%d servers ejected among equals", table.EjectedCount())
+		t.Fatalf("%d servers ejected though all have the same number of failures", table.EjectedCount())
 	}
 	endAttempts(table, 40, "s3", 300*ms, Canceled)
 	table.Update(start)
 	if table.EjectedCount() != 1 {
-		t.Errorf("%d servers ejected, one has six times the failures of the others", table.EjectedCount())
+		t.Errorf("%d servers ejected, want the one with six times the failures of the others", table.EjectedCount())
 	}
-	// Half of the servers fail with a zone: these are ejected, the others are not.
+	// Half of the servers fail together with their zone: these are ejected, the others are not.
 	table = newTable()
 	for i := range 10 {
 		endAttempts(table, 20, serverID(i), 0, Failed)
 	}
 	table.Update(start)
 	if table.EjectedCount() != 10 {
-		t.Errorf("%d servers ejected, 10 of 20 fail", table.EjectedCount())
+		t.Errorf("%d servers ejected, want the 10 of 20 that fail", table.EjectedCount())
 	}
 }
 
-// Outcomes that say nothing about a server, and messages that must be ignored, change no share.
+// Outcomes that are no evidence about a server, and messages that must be ignored, change no traffic fraction.
 func TestTable_IrrelevantOutcomesAndMessagesAreIgnored(t *testing.T) {
 	table := newTable()
-	endAttempts(table, 50, "s1", 100*ms, Canceled) // not overdue: its query was over
+	endAttempts(table, 50, "s1", 100*ms, Canceled) // not overdue: its query was completed
 	endAttempts(table, 50, "s2", 0, Rejected)      // overloaded
 	endAttempts(table, 50, "s4", 0, NotSent)       // never reached the server
 	endAttempts(table, 50, "not in the table", 0, Failed)
@@ -202,32 +204,32 @@
 	return table
 }
 
-// An ejection ends with the server's entry, with its process, and with time.
+// An ejection ends if the server is removed from the table, if its process is replaced, and after some time.
 func TestTable_EjectionEnds(t *testing.T) {
 	table := newTableWithEjected(t)
 	table.Add("s3", 0)
 	if table.TrafficFraction("s3") == 1 {
-		t.Error("adding a server of the same process restored it")
+		t.Error("adding a server again with the same process restored it")
 	}
 	table.Add("s3", start)
 	if table.TrafficFraction("s3") != 1 {
-		t.Error("a new process has the share of the old one")
+		t.Error("a new process has the traffic fraction of the previous one")
 	}
 	table = newTableWithEjected(t)
 	table.Remove("s3")
 	if table.TrafficFraction("s3") != 1 || len(table.pending) != 0 {
-		t.Error("a removed server has a share or pending observations")
+		t.Error("a removed server has a traffic fraction or pending observations")
 	}
 	table = newTableWithEjected(t)
 	table.Retain(func(id string) bool { return id == "s4" })
 	if len(table.order) != 1 || len(table.servers) != 1 {
 		t.Errorf("%d servers retained, want one", len(table.order))
 	}
-	// Nothing is sent to it: it gets a few attempts, and one failure ends that.
+	// Without any failures for some time it receives a few attempts, until the next failure.
 	table = newTableWithEjected(t)
 	changed := table.Update(start + 13*time.Second)
 	if len(changed) != 1 || table.TrafficFraction("s3") != recoverySteps[1].fraction {
-		t.Errorf("changed %v, fraction %v after a quiet time", changed, table.TrafficFraction("s3"))
+		t.Errorf("changed %v, fraction %v after some time without failures", changed, table.TrafficFraction("s3"))
 	}
 	table.AttemptEnded(start+14*time.Second, "s3", start+13*time.Second, Failed)
 	table.Update(start + 14*time.Second)
@@ -245,7 +247,7 @@
 		table.AttemptEnded(start, serverID(i), start, Failed)
 	}
 	if table.NextMessage(start) != nil {
-		t.Fatal("a message without a budget")
+		t.Fatal("a message with an empty budget")
 	}
 	observations := 0
 	deliveredBytes := 0
@@ -269,7 +271,7 @@
 	}
 }
 
-// Operations of FuzzTable: the first byte of a pair modulo the number of them. The values are part of the seeds.
+// Operations of FuzzTable: the first byte of each pair, modulo opCount, selects one. Seeds depend on the values.
 const (
 	opAdvance = iota
 	opFail
@@ -282,14 +284,14 @@
 	opCount
 )
 
-// tableModel runs random operations on a Table and knows which servers are in it.
+// tableModel runs random operations on a Table and tracks which servers are in it.
 type tableModel struct {
 	table, receiver *Table
 	listed          map[string]bool
 	now             time.Duration
 }
 
-const fuzzServers = 24 // of which the tables have the first 20 at first
+const fuzzServers = 24 // of which the first 20 are in the tables at the beginning
 
 func newTableModel() *tableModel {
 	m := &tableModel{table: newTable(), receiver: newTable(), listed: map[string]bool{}, now: start}
@@ -326,7 +328,7 @@
 	m.table.Update(m.now)
 }
 
-// send delivers the next message, which must be read as it was written.
+// send delivers the next message, which must be decoded as it was encoded.
 func (m *tableModel) send(t *testing.T, parts int) {
 	t.Helper()
 	m.table.AccrueBudget(parts)
@@ -335,7 +337,7 @@
 		return
 	}
 	decoded, ok := decodeMessage(m.now, datagram)
-	want := m.receiver.ObservationsReceived // and the observations on servers of the receiver: s0 to s19
+	want := m.receiver.ObservationsReceived // plus the observations of servers in the receiver's table: s0 to s19
 	for _, o := range decoded.observations {
 		if m.receiver.servers[o.key] != nil {
 			want++
@@ -365,8 +367,8 @@
 	}
 }
 
-// FuzzTable checks after random operations that fractions are 1 or one of the steps, that only servers of the table have a
-// share below 1, and that a message is read as it was written.
+// FuzzTable checks after random operations that each traffic fraction is 1 or that of a recovery step, that only
+// servers in the table have one below 1, and that messages are decoded as they were encoded.
 func FuzzTable(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{1, 3, 1, 3, 1, 3, 1, 3, 1, 3, 5, 0, 6, 0, 2, 3, 2, 3})
