--- a/internal/control/timers/deadlinequeue.go
+++ b/internal/control/timers/deadlinequeue.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// DeadlineItem is what a DeadlineQueue holds. Implementations are pointers to structs that carry their queue index.
+// DeadlineItem is an item of a DeadlineQueue. Implementations are pointers to structs that store their queue index.
 type DeadlineItem interface {
 	comparable
-	// Deadline returns the item's time, and its order among the items of the same time. Neither changes while the item
-	// is in the queue.
+	// Deadline returns the item's deadline, and its order among the items with the same deadline. Neither may change
+	// while the item is in the queue.
 	Deadline() (t time.Time, order uint64)
-	// QueueIndex returns where the queue stores the item's position, counted from 1: 0 while the item is in no queue.
+	// QueueIndex returns the variable in which the queue stores the item's position, counted from 1; 0 stands for an
+	// item that is in no queue.
 	QueueIndex() *int
 }
 
-// DeadlineQueue is a binary heap of exact deadlines from which any item can be removed. Unlike Wheel it does not
-// round times; Push and Remove cost the logarithm of the number of items. The zero value is an empty queue. It is
-// owned by one goroutine.
+// DeadlineQueue is a binary heap of exact deadlines from which any item can be removed. Unlike Wheel it does not round
+// times. Push and Remove take logarithmic time in the number of items. The zero value is an empty queue. It is owned by
+// one goroutine.
 type DeadlineQueue[T DeadlineItem] struct{ items []T }
 
 // Len returns the number of items.
@@ -54,7 +55,7 @@
 	return t, true
 }
 
-// Pop removes the items whose deadline has come by now and returns them, earliest first.
+// Pop removes the items whose deadline is not after now and returns them, earliest first.
 func (q *DeadlineQueue[T]) Pop(now time.Time) (expired []T) {
 	for len(q.items) > 0 {
 		first := q.items[0]
--- a/internal/control/timers/deadlinequeue_test.go
+++ b/internal/control/timers/deadlinequeue_test.go
@@ -17,8 +17,8 @@
 func (i *testItem) Deadline() (time.Time, uint64) { return i.deadline, i.order }
 func (i *testItem) QueueIndex() *int              { return &i.index }
 
-// FuzzDeadlineQueue runs random operations on a DeadlineQueue and on a plain slice: the same items expire, in the same
-// order.
+// FuzzDeadlineQueue runs random operations on a DeadlineQueue and on a sorted slice as the model: the same items must
+// expire, in the same order.
 func FuzzDeadlineQueue(f *testing.F) {
 	f.Add(uint64(1), uint16(500))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
@@ -39,7 +39,7 @@
 				if len(model) > 0 {
 					k := random.IntN(len(model))
 					queue.Remove(model[k])
-					queue.Remove(model[k]) // of an item that is not in the queue: does nothing
+					queue.Remove(model[k]) // removing an item that is not in the queue has no effect
 					model = slices.Delete(model, k, k+1)
 				}
 			case 3:
@@ -53,7 +53,7 @@
 	})
 }
 
-// popBoth pops what is due from the queue and from the model, and returns what is left in the model.
+// popBoth pops the items that are due from the queue and from the model, and returns the remainder of the model.
 func popBoth(t *testing.T, queue *DeadlineQueue[*testItem], model []*testItem, now time.Time) []*testItem {
 	t.Helper()
 	slices.SortFunc(model, func(a, b *testItem) int {
--- a/internal/control/timers/heap.go
+++ b/internal/control/timers/heap.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Heap is a binary heap over container/heap with an index of positions.
+// Heap implements Timers with container/heap and an index of positions.
 type Heap struct{ entries heapEntries }
 
 // heapEntries implements heap.Interface over ids.
@@ -78,7 +78,7 @@
 	return e.dueTimes[e.ids[0]], true
 }
 
-// Pop calls expired for what is due by now.
+// Pop removes the due times up to now and calls expired for their ids.
 func (h *Heap) Pop(now time.Time, expired func(id int)) {
 	e := &h.entries
 	var due []int
@@ -86,7 +86,7 @@
 		due = append(due, heap.Pop(e).(int))
 	}
 	for _, id := range due {
-		if e.positions[id] == notInHeap { // else expired has set it again
+		if e.positions[id] == notInHeap { // else a call of expired has set it again
 			expired(id)
 		}
 	}
--- a/internal/control/timers/timers_test.go
+++ b/internal/control/timers/timers_test.go
@@ -25,12 +25,12 @@
 		wheel.Pop(now, func(id int) { byWheel[id]++ })
 		heap.Pop(now, func(id int) { byHeap[id]++ })
 		if byWheel != byHeap || wheel.Len() != heap.Len() {
-			t.Fatalf("step %d: different ids expired, or %d and %d due times are left", step, wheel.Len(), heap.Len())
+			t.Fatalf("step %d: different ids expired, or %d and %d due times remain", step, wheel.Len(), heap.Len())
 		}
 	}
 }
 
-// BenchmarkTimers measures one due time: it expires and is set again. Run with -bench Timers -benchmem.
+// BenchmarkTimers measures how long it takes to pop one due time and to set it again. Run with -bench Timers -benchmem.
 func BenchmarkTimers(b *testing.B) {
 	for _, ids := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("wheel/%d", ids), func(b *testing.B) {
--- a/internal/control/timers/wheel.go
+++ b/internal/control/timers/wheel.go
@@ -10,21 +10,21 @@
 	slotsPerLevel = 1 << slotBits
 	slotMask      = slotsPerLevel - 1
 	levels        = 4
-	expiredLevel  = levels    // its slot 0 lists what is due already
+	expiredLevel  = levels    // its slot 0 lists the ids that are already due
 	endOfList     = int32(-1) // in place of an id
 
 	notInWheel = -1 // in place of a level: there is no due time
-	popping    = -2 // in place of a level: taken from the wheel by the Pop in progress
+	popping    = -2 // in place of a level: removed from its slot by the Pop in progress
 )
 
 // Wheel is a hierarchical timing wheel of four levels of 64 slots, after Varghese and Lauck, "Hashed and
-// hierarchical timing wheels" (1987): Set and Cancel cost the same whatever the number of due times. Times are
-// rounded up to the tick, so no id expires early. With a tick of 5 ms the wheel reaches 23 hours; what is due
-// later waits in the last slot and is placed again.
+// hierarchical timing wheels" (1987): Set and Cancel take constant time. Due times are rounded up to the tick, so no
+// id expires early. With a tick of 5 ms the wheel covers 23 hours; ids that are due later are linked to the last slot
+// and relinked when it is reached.
 type Wheel struct {
 	origin  time.Time
 	tick    time.Duration
-	now     int64                            // ticks that have been popped
+	now     int64                            // current tick: ticks up to it have been popped
 	heads   [levels + 1][slotsPerLevel]int32 // first id of each slot's list
 	used    [levels + 1]uint64               // one bit for each slot whose list is not empty
 	items   []wheelItem                      // by id
@@ -39,7 +39,7 @@
 	level, slot int8
 }
 
-// NewWheel returns an empty wheel that begins at origin.
+// NewWheel returns an empty wheel that starts at origin.
 func NewWheel(origin time.Time, tick time.Duration) *Wheel {
 	w := &Wheel{origin: origin, tick: tick}
 	for level := range w.heads {
@@ -86,7 +86,7 @@
 	w.count--
 }
 
-// link puts an id into the slot of its due time.
+// link adds an id to the list of the slot for its due time.
 func (w *Wheel) link(id int32) {
 	item := &w.items[id]
 	level, slot := w.slotOf(item.due)
@@ -102,7 +102,7 @@
 	w.used[level] |= 1 << slot
 }
 
-// slotOf returns the slot for a due time, in the lowest level that reaches it.
+// slotOf returns the slot for a due time, in the lowest level that covers it.
 func (w *Wheel) slotOf(due int64) (level, slot int) {
 	delta := due - w.now
 	if delta <= 0 {
@@ -111,11 +111,11 @@
 	for level < levels-1 && delta >= 1<<(slotBits*(level+1)) {
 		level++
 	}
-	lastTick := w.now + 1<<(slotBits*levels) - 1 // that the wheel reaches
+	lastTick := w.now + 1<<(slotBits*levels) - 1 // that the wheel covers
 	return level, int(min(due, lastTick)>>(slotBits*level)) & slotMask
 }
 
-// unlink takes an id out of its slot.
+// unlink removes an id from the list of its slot.
 func (w *Wheel) unlink(id int32) {
 	item := &w.items[id]
 	level := item.level
@@ -134,7 +134,7 @@
 	item.level = notInWheel
 }
 
-// slotDistance returns how many slots after current the next used one lies, 1 to 64; 0 if none is used.
+// slotDistance returns the number of slots from current to the next used one, 1 to 64; 0 if none is used.
 func slotDistance(used uint64, current int) int {
 	if used == 0 {
 		return 0
@@ -169,7 +169,8 @@
 	return w.origin.Add(time.Duration(tick) * w.tick), ok
 }
 
-// Pop calls expired for what is due by now. What expired sets for a time that has come is due with the next Pop.
+// Pop removes the due times up to now and calls expired for their ids. If expired sets a due time that is not after
+// now, it is removed by the next Pop.
 func (w *Wheel) Pop(now time.Time, expired func(id int)) {
 	target := int64(now.Sub(w.origin) / w.tick)
 	for {
@@ -191,19 +192,20 @@
 	w.now = max(w.now, target)
 }
 
-// advanceTo moves the wheel on to a tick, whose slots are emptied into lower levels or the list of what is due.
+// advanceTo advances the wheel to a tick. The ids of the slots that start at it are moved to lower levels or to the
+// list of ids that are due.
 func (w *Wheel) advanceTo(tick int64) {
 	w.now = tick
 	for level := levels - 1; level > 0; level-- {
-		begins := tick&(1<<(slotBits*level)-1) == 0
-		if begins { // a slot of this level
+		startsSlot := tick&(1<<(slotBits*level)-1) == 0
+		if startsSlot {
 			w.relinkSlot(level, int(tick>>(slotBits*level))&slotMask)
 		}
 	}
 	w.relinkSlot(0, int(tick)&slotMask)
 }
 
-// relinkSlot links the ids of a slot anew: to a lower level, or as due.
+// relinkSlot empties a slot and links its ids again: to slots of lower levels, or to the list of ids that are due.
 func (w *Wheel) relinkSlot(level, slot int) {
 	id := w.heads[level][slot]
 	w.heads[level][slot] = endOfList
@@ -215,8 +217,8 @@
 	}
 }
 
-// popExpired calls expired for the list of what is due. The list is emptied first, so that what expired sets for a
-// time that has come waits for the next Pop.
+// popExpired calls expired for each id in the list of those that are due. The list is emptied first, so that ids which
+// expired sets to a due time that is not after now are left for the next Pop.
 func (w *Wheel) popExpired(expired func(id int)) {
 	w.expired = w.expired[:0]
 	for id := w.heads[expiredLevel][0]; id != endOfList; id = w.items[id].next {
@@ -227,7 +229,7 @@
 	w.used[expiredLevel] = 0
 	for _, id := range w.expired {
 		if w.items[id].level != popping {
-			continue // expired has cancelled it, or set it again
+			continue // a previous call of expired has canceled it, or set it again
 		}
 		w.items[id].level = notInWheel
 		w.count--
--- a/internal/control/timers/wheel_test.go
+++ b/internal/control/timers/wheel_test.go
@@ -8,7 +8,7 @@
 
 const testTick = 5 * time.Millisecond
 
-// wheelModel compares a Wheel with a map of due times.
+// wheelModel runs the same operations on a Wheel and on a map of due times.
 type wheelModel struct {
 	wheel  *Wheel
 	random *rand.Rand
@@ -65,7 +65,7 @@
 	}
 }
 
-// pop checks that exactly what is due expires.
+// pop checks that exactly the ids that are due expire.
 func (m *wheelModel) pop(t *testing.T) {
 	t.Helper()
 	m.wheel.Pop(m.now, func(id int) {
@@ -74,7 +74,7 @@
 			t.Fatalf("%d expired at %v, due %v %v", id, m.now, due, ok)
 		}
 		delete(m.due, id)
-		// What expires may cancel other ids that are due, or set itself or them again.
+		// The callback may cancel other ids that are due, or set any id again.
 		switch other := m.random.IntN(modelIDs); other % 7 {
 		case 0:
 			m.cancel(other)
@@ -89,7 +89,8 @@
 	}
 }
 
-// FuzzWheel runs random operations on a wheel and on a plain map: the same ids expire, at the same tick, each once.
+// FuzzWheel runs random operations on a wheel and on a plain map: the same ids must expire, in the same tick, once
+// each.
 func FuzzWheel(f *testing.F) {
 	f.Add(uint64(1), uint16(200))
 	f.Add(uint64(99), uint16(2000))
