--- a/internal/control/eviction/eviction.go
+++ b/internal/control/eviction/eviction.go
@@ -1,7 +1,7 @@
-// Package eviction decides which connection is closed when a new one needs its place: never one with an operation
-// in flight, nor one whose state was used recently. Of the others, first those that have made no request yet, then
-// those that are idle, and last those for which state is stored. Within a class, the connection that has been in
-// it for longest goes first. The package does no I/O and reads no clock.
+// Package eviction decides which connection to close when a new one needs its slot: never one with an operation in
+// flight, nor one whose state was used recently. Of the others, connections without any request are evicted first, then
+// idle ones, and last those for which state is stored; within a class, the one that has been in it for longest. The
+// package does no I/O and reads no clock.
 package eviction
 
 import (
@@ -14,7 +14,7 @@
 
 // Classes from the first evicted to those that are never evicted.
 const (
-	Unused   Class = iota // no complete request has come on it
+	Unused   Class = iota // no complete request has been received on it
 	Idle                  // nothing is in flight, and no state is stored
 	Stateful              // nothing is in flight, but state is stored for it, such as result sets
 	Busy                  // an operation is in flight
@@ -22,8 +22,8 @@
 	classCount
 )
 
-// Registry holds connections by class, each class in the order in which the connections came into it. It is not
-// safe for concurrent use. A key stays until Remove, also after its eviction.
+// Registry stores connections by class, each class in the order in which the connections were added to it. It is not
+// safe for concurrent use. A key stays in the registry until Remove, even after its eviction.
 type Registry[K comparable] struct {
 	recent   time.Duration
 	classes  [classCount]list.List // of *entry[K], front: oldest
@@ -36,18 +36,18 @@
 	since time.Time
 }
 
-// New returns an empty registry. A Stateful connection that was set within recent is not evicted.
+// New returns an empty registry. A Stateful connection that was set less than recent ago is not evicted.
 func New[K comparable](recent time.Duration) *Registry[K] {
 	return &Registry[K]{recent: recent, elements: map[K]*list.Element{}}
 }
 
-// Set puts a connection into a class, as its newest. Setting the same class again counts as use.
+// Set moves a connection into a class, as its newest. Setting the same class again counts as use.
 func (r *Registry[K]) Set(key K, class Class, now time.Time) {
 	r.Remove(key)
 	r.elements[key] = r.classes[class].PushBack(&entry[K]{key, class, now})
 }
 
-// Remove forgets a connection, if it is in the registry.
+// Remove removes a connection, if it is in the registry.
 func (r *Registry[K]) Remove(key K) {
 	if element := r.elements[key]; element != nil {
 		r.classes[entryOf[K](element).class].Remove(element)
@@ -55,8 +55,7 @@
 	}
 }
 
-// Evict chooses the connection that is to be closed and puts it into the class Evicted; ok is false if none may be
-// closed.
+// Evict chooses the connection to close and moves it into the class Evicted; ok is false if none may be closed.
 func (r *Registry[K]) Evict(now time.Time) (key K, ok bool) {
 	for class := Unused; class <= Stateful; class++ {
 		front := r.classes[class].Front()
@@ -76,5 +75,5 @@
 // Len returns the number of connections of a class.
 func (r *Registry[K]) Len(class Class) int { return r.classes[class].Len() }
 
-// entryOf returns the value of an element, which Set put there.
+// entryOf returns the value that Set stored in an element.
 func entryOf[K comparable](element *list.Element) *entry[K] { return element.Value.(*entry[K]) }
--- a/internal/control/eviction/eviction_test.go
+++ b/internal/control/eviction/eviction_test.go
@@ -32,19 +32,19 @@
 		}
 	}
 	if key, ok := registry.Evict(now); ok {
-		t.Fatalf("%s is evicted, and its state was used recently", key)
+		t.Fatalf("%s is evicted, though its state was used recently", key)
 	}
 	if key, ok := registry.Evict(now.Add(time.Minute)); !ok || key != "stateful" {
 		t.Fatalf("%q is evicted, want stateful", key)
 	}
 	if key, ok := registry.Evict(now.Add(time.Hour)); ok {
-		t.Fatalf("%s is evicted, and is busy", key)
+		t.Fatalf("%s is evicted, though it is busy", key)
 	}
 }
 
 const testRecent = time.Second
 
-// modelEntry is a connection of the plain model.
+// modelEntry is a connection in the model of FuzzRegistry.
 type modelEntry struct {
 	class Class
 	since time.Time
@@ -60,7 +60,7 @@
 	return false
 }
 
-// firstEvicted returns the connection of the model that is to be evicted first.
+// firstEvicted returns the connection of the model that must be evicted first.
 func firstEvicted(model map[int]modelEntry, now time.Time) (first int, found bool) {
 	for key, e := range model {
 		if !e.isEvictable(now) {
@@ -75,8 +75,8 @@
 	return first, found
 }
 
-// FuzzRegistry compares a Registry with a plain model: no busy connection is evicted, none twice, and the evicted
-// one is the oldest of the lowest class.
+// FuzzRegistry compares a Registry with a map as the model: no busy connection is evicted, none is evicted twice, and
+// the evicted one is the oldest of the lowest class.
 func FuzzRegistry(f *testing.F) {
 	f.Add(uint64(1), uint16(500))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
