--- a/internal/control/maintenance/maintenance.go
+++ b/internal/control/maintenance/maintenance.go
@@ -1,6 +1,6 @@
-// Package maintenance holds which servers operators have taken out of service. It is an administrative state of its own,
-// beside what discovery lists and what health evidence says, and nothing but an operator's call changes it. Processes that
-// replace each other merge their tables. It does no I/O and reads no clock.
+// Package maintenance stores which servers operators have taken out of service. This administrative state is
+// independent of the endpoint list and of health, and only an operator's call changes it. Processes that replace each
+// other merge their tables. The package does no I/O and reads no clock.
 package maintenance
 
 import (
@@ -11,41 +11,41 @@
 	"slices"
 )
 
-// maxEntries bounds a table. Servers that are back in service are forgotten first.
+// maxEntries bounds the size of a table. Entries of servers that are back in service are dropped first.
 const maxEntries = 4096
 
-// formatVersion of an encoded table.
+// formatVersion is the version of an encoded table.
 const formatVersion = 1
 
 // Errors of a table.
 var (
 	ErrFull        = errors.New("too many servers are out of service")
-	ErrUnsupported = errors.New("a table of another version")
+	ErrUnsupported = errors.New("unsupported version of the maintenance table")
 )
 
-// Entry is the last call of an operator on one server.
+// Entry is the last call of an operator for one server.
 type Entry struct {
 	Server   string `json:"server"`
 	Detached bool   `json:"detached"`
-	Revision uint64 `json:"revision"` // of two entries on a server the higher one holds
+	Revision uint64 `json:"revision"` // of two entries for a server, the higher revision takes precedence
 }
 
-// Table is the state of all servers that an operator has called on. The zero value is empty; it is not safe for concurrent
-// use.
+// Table stores the entries of all servers for which an operator has made a call. The zero value is empty; it is not
+// safe for concurrent use.
 type Table struct {
 	entries  map[string]Entry
-	revision uint64 // the highest so far
+	revision uint64 // highest so far
 }
 
 // Detached reports whether an operator has taken a server out of service.
 func (t *Table) Detached(server string) bool { return t.entries[server].Detached }
 
-// Set notes an operator's call. It reports whether that changes anything: calls may be repeated.
+// Set records an operator's call. It reports whether the call changes the server's state: calls may be repeated.
 func (t *Table) Set(server string, detached bool) (changed bool, err error) {
 	if t.Detached(server) == detached {
 		return false, nil
 	}
-	if _, known := t.entries[server]; !known && len(t.entries) >= maxEntries && !t.forgetOldest() {
+	if _, known := t.entries[server]; !known && len(t.entries) >= maxEntries && !t.dropOldestAttached() {
 		return false, ErrFull
 	}
 	t.put(Entry{Server: server, Detached: detached, Revision: t.revision + 1})
@@ -60,8 +60,9 @@
 	t.revision = max(t.revision, entry.Revision)
 }
 
-// forgetOldest drops the entry of the server that is back in service for longest; it returns false if there is none.
-func (t *Table) forgetOldest() bool {
+// dropOldestAttached drops the entry of the server that has been back in service for longest; it returns false if there
+// is none.
+func (t *Table) dropOldestAttached() bool {
 	var oldest *Entry
 	for _, entry := range t.Entries() {
 		if !entry.Detached && (oldest == nil || entry.Revision < oldest.Revision) {
@@ -75,13 +76,13 @@
 	return true
 }
 
-// Merge takes in the entries of another process, and returns those that changed a server's state here. Of contradicting
-// entries of one revision the one that keeps the server out of service holds.
+// Merge adds the entries of another process, and returns those that changed a server's state in this table. Of
+// conflicting entries with the same revision, the one that is detached takes precedence.
 func (t *Table) Merge(entries []Entry) (changed []Entry) {
 	for _, entry := range entries {
 		own, known := t.entries[entry.Server]
 		newer := entry.Revision > own.Revision || entry.Revision == own.Revision && entry.Detached && !own.Detached
-		if known && !newer || !known && len(t.entries) >= maxEntries && !t.forgetOldest() {
+		if known && !newer || !known && len(t.entries) >= maxEntries && !t.dropOldestAttached() {
 			continue
 		}
 		if own.Detached != entry.Detached {
@@ -92,7 +93,7 @@
 	return changed
 }
 
-// Entries returns all entries, in the order of their servers.
+// Entries returns all entries, sorted by server.
 func (t *Table) Entries() []Entry {
 	entries := make([]Entry, 0, len(t.entries))
 	for _, entry := range t.entries {
@@ -102,7 +103,7 @@
 	return entries
 }
 
-// document is the JSON of a table.
+// document is the JSON representation of a table.
 type document struct {
 	Version int     `json:"version"`
 	Entries []Entry `json:"entries"`
@@ -120,7 +121,7 @@
 		return nil, fmt.Errorf("decode the maintenance table: %w", err)
 	}
 	if decoded.Version != formatVersion {
-		return nil, fmt.Errorf("%w: %d", ErrUnsupported, decoded.Version)
+		return nil, fmt.Errorf("%w: %d, want %d", ErrUnsupported, decoded.Version, formatVersion)
 	}
 	return decoded.Entries, nil
 }
--- a/internal/control/maintenance/maintenance_test.go
+++ b/internal/control/maintenance/maintenance_test.go
@@ -18,10 +18,10 @@
 func TestTable_Set(t *testing.T) {
 	var table Table
 	for i, call := range []struct{ detached, changed bool }{
-		{false, false}, // never taken out
+		{false, false}, // already in service
 		{true, true},
 		{true, false}, // repeated
-		{false, true}, // one call back is enough
+		{false, true}, // one call attaches it, however often it was detached
 		{false, false},
 		{true, true},
 	} {
@@ -48,23 +48,24 @@
 	}
 }
 
-// Two processes that take calls in turn, and now and then hear from each other, late and more than once, end with the same
-// state: that of the last call, where each call comes to a process that has heard of those before.
+// Two processes handle operators' calls in random order and merge each other's tables, also old ones and some of them
+// repeatedly. If each call is made to a process that has merged all previous ones, both end with the state of the last
+// call for each server.
 func TestTable_Merge_ProcessesAgree(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		var tables [2]Table
 		want := map[string]bool{}
-		var written [][]Entry // what a file has held
+		var written [][]Entry // previous contents of the shared file
 		for range 50 {
-			at := &tables[random.IntN(2)]
+			table := &tables[random.IntN(2)]
 			for _, entries := range written {
-				at.Merge(entries)
+				table.Merge(entries)
 			}
 			server := fmt.Sprint(random.IntN(3))
 			want[server] = random.IntN(2) == 0
-			mustSet(t, at, server, want[server])
-			written = append(written, at.Entries())
+			mustSet(t, table, server, want[server])
+			written = append(written, table.Entries())
 		}
 		for i := range tables {
 			random.Shuffle(len(written), func(i, j int) { written[i], written[j] = written[j], written[i] })
@@ -83,7 +84,8 @@
 	}
 }
 
-// Calls that cross, of the same revision: the server stays out of service, in whichever order they are heard of.
+// Two processes handle conflicting calls at the same time, so that both entries have the same revision: the server
+// stays out of service, in whichever order the entries are merged.
 func TestTable_Merge_ContradictingCalls(t *testing.T) {
 	out := Entry{Server: "s", Detached: true, Revision: 7}
 	back := Entry{Server: "s", Revision: 7}
