--- a/internal/control/listwatch/listwatch.go
+++ b/internal/control/listwatch/listwatch.go
@@ -1,6 +1,6 @@
 // Package listwatch decides when an aggregator calls service discovery for the endpoint list: when a watch that
 // sends nothing counts as broken, and how long to wait before the next call. It does no I/O, reads no clock and
-// draws no random numbers of its own.
+// generates no random numbers.
 package listwatch
 
 import (
@@ -9,19 +9,19 @@
 	"rooktrestle/internal/control/backoff"
 )
 
-// Config holds the timing of an aggregator's calls. The platform's protocol states that a live watch sends
-// something every 2 s, that the changes a client misses through a silent watch count as delivered 6 s after it
-// fell silent, and that changes known to an agent on the aggregator's own machine count as delivered at once.
+// Config contains the timing of an aggregator's calls. The platform's protocol states that a working watch sends an
+// event at least every 2 s, that changes which a client misses on an unresponsive watch count as delivered 6 s after
+// its last event, and that changes known to an agent on the aggregator's own machine count as delivered immediately.
 type Config struct {
 	Clients           int           // aggregators that call the same discovery; less than two: an agent of its own
-	RetryInterval     time.Duration // between the starts of two calls to an agent; minimum wait after a failed one
-	CallsPerSecond    float64       // of all clients together, where all of them call at once
-	MinIdleTimeout    time.Duration // shortest silence after which a watch is broken; it is sampled between this
-	MaxIdleTimeout    time.Duration // and the longest, so that clients do not all call again at one moment
-	FirstEventTimeout time.Duration // an agent answers at once: a call without an event for that long is broken
+	RetryInterval     time.Duration // between the starts of two calls to an agent; minimum wait after a failed call
+	CallsPerSecond    float64       // of all clients together, if all of them start to call at the same time
+	MinIdleTimeout    time.Duration // a watch is broken after an idle time that is sampled between this minimum and
+	MaxIdleTimeout    time.Duration // this maximum, so that clients do not all call again at the same time
+	FirstEventTimeout time.Duration // of a call to an agent until the first event: agents answer immediately
 }
 
-// PlatformConfig returns the timing that the platform's protocol needs for a discovery that so many clients share.
+// PlatformConfig returns the timing that the platform's protocol requires if so many clients share the discovery.
 func PlatformConfig(clients int) Config {
 	return Config{
 		Clients:           clients,
@@ -42,10 +42,10 @@
 type Reconnector struct {
 	config       Config
 	backoff      backoff.Backoff
-	opened       time.Time     // start of the present call
-	lastReceived time.Time     // last event of the present call, or its start
-	hasReceived  bool          // an event of the present call
-	maxSilence   time.Duration // of the present call, after which it is broken
+	opened       time.Time     // start of the current call
+	lastReceived time.Time     // last event of the current call, or its start
+	hasReceived  bool          // whether the current call has received an event
+	idleTimeout  time.Duration // of the current call
 }
 
 // New returns the Reconnector of a client that has made no call.
@@ -56,34 +56,35 @@
 	}
 }
 
-// Opened notes that a call starts. random decides how long a silence it is allowed.
+// Opened records the start of a call. random determines its idle timeout.
 func (r *Reconnector) Opened(now time.Time, random float64) {
 	r.opened = now
 	r.lastReceived = now
 	r.hasReceived = false
 	span := r.config.MaxIdleTimeout - r.config.MinIdleTimeout
-	r.maxSilence = r.config.MinIdleTimeout + time.Duration(random*float64(span))
+	r.idleTimeout = r.config.MinIdleTimeout + time.Duration(random*float64(span))
 }
 
-// Received notes that an event came, whatever it is.
+// Received records that an event of any kind was received.
 func (r *Reconnector) Received(now time.Time) { r.lastReceived, r.hasReceived = now, true }
 
-// IdleDeadline returns when the watch counts as broken if nothing is received until then. It is to be opened again at
-// once, without a backoff: it has waited already, and what it goes on missing counts as delivered.
+// IdleDeadline returns when the watch counts as broken if nothing is received until then. It must then be reopened
+// immediately, without a backoff: the client has already waited for the idle timeout, and further changes that it
+// misses count as delivered.
 func (r *Reconnector) IdleDeadline() time.Time {
 	if !r.hasReceived && r.config.hasOwnAgent() {
-		return r.lastReceived.Add(min(r.maxSilence, r.config.FirstEventTimeout))
+		return r.lastReceived.Add(min(r.idleTimeout, r.config.FirstEventTimeout))
 	}
-	return r.lastReceived.Add(r.maxSilence)
+	return r.lastReceived.Add(r.idleTimeout)
 }
 
-// Succeeded notes that the call brought the endpoint list or a change of it: the backoff starts over.
+// Succeeded records that the call has delivered the endpoint list or a change of it, and resets the backoff.
 func (r *Reconnector) Succeeded() { r.backoff.Reset() }
 
-// Ended notes that the call failed or the watch ended, and returns when to call again. This protects a shared
-// discovery that is short of capacity: calls queue there and fail if they wait for too long, so clients that all
-// called again at once would keep it overloaded for ever. A client's own agent is called again as soon as the last
-// call started about RetryInterval ago.
+// Ended records that the call failed or the watch ended, and returns when to call again. The wait protects a shared
+// discovery with little capacity: calls are queued there and fail if they wait for too long, so clients that all called
+// again immediately would keep it overloaded permanently. A client's own agent is called again about RetryInterval
+// after the start of the previous call.
 func (r *Reconnector) Ended(now time.Time, random float64) time.Time {
 	wait := r.backoff.Next(random)
 	if r.config.hasOwnAgent() {
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// An agent's watch that ends after a while is opened again at once, and a failing agent is not called in a busy loop.
+// An agent's watch that ends after some time is reopened immediately; a failing agent is not called in a busy loop.
 func TestReconnector_OwnAgentIsCalledAgainAtOnce(t *testing.T) {
 	for _, random := range []float64{0, 0.5, 1} {
 		r := New(PlatformConfig(0))
@@ -21,14 +21,15 @@
 			r.Succeeded()
 			next := r.Ended(now, random)
 			if wait := next.Sub(now); wait < 100*time.Millisecond || wait > 300*time.Millisecond {
-				t.Errorf("random %v: wait of %v after a call that ended at once", random, wait)
+				t.Errorf("random %v: wait of %v after a call that ended immediately", random, wait)
 			}
 			now = next
 		}
 	}
 }
 
-// Clients that share a discovery and fail at one moment call it again over the time that their number needs.
+// Clients that share a discovery and fail at the same time spread their next calls over a time that grows with their
+// number.
 func TestReconnector_CallsToASharedDiscoveryAreSpread(t *testing.T) {
 	const clients, maxInFirstSecond = 300, 45 // of 300 calls over 7.5 s, 40 are due in the first second
 	inFirstSecond := 0
@@ -44,8 +45,8 @@
 	}
 }
 
-// FuzzReconnector plays a discovery that answers, sends events, falls silent, rejects calls and ends watches, and
-// checks the bounds of every wait.
+// FuzzReconnector simulates a discovery that sends events, stops responding, rejects calls and ends watches, and checks
+// the bounds of every wait.
 func FuzzReconnector(f *testing.F) {
 	f.Add(uint16(0), []byte{0, 1, 2, 3, 4, 200, 255, 7})
 	f.Add(uint16(300), []byte{3, 3, 3, 0, 9, 2, 2, 1})
@@ -53,13 +54,13 @@
 	f.Fuzz(func(t *testing.T, clients uint16, steps []byte) {
 		m := newModel(int(clients))
 		for _, step := range steps {
-			m.checkSilence(t)
+			m.checkIdleTimeout(t)
 			random := float64(step>>3) / 31
 			switch step & 3 {
 			case 0:
 				m.receiveInTime(t)
 			case 1:
-				m.fallSilent(t, random)
+				m.breakWatch(t, random)
 			default:
 				m.end(t, random)
 			}
@@ -83,16 +84,16 @@
 	return m
 }
 
-func (m *model) checkSilence(t *testing.T) {
+func (m *model) checkIdleTimeout(t *testing.T) {
 	t.Helper()
-	silence := m.r.IdleDeadline().Sub(m.r.lastReceived)
-	isFirstEventTimeout := !m.r.hasReceived && m.clients <= 1 && silence == m.config.FirstEventTimeout
-	if silence > m.config.MaxIdleTimeout || silence < m.config.MinIdleTimeout && !isFirstEventTimeout {
-		t.Fatalf("broken after a silence of %v", silence)
+	timeout := m.r.IdleDeadline().Sub(m.r.lastReceived)
+	isFirstEventTimeout := !m.r.hasReceived && m.clients <= 1 && timeout == m.config.FirstEventTimeout
+	if timeout > m.config.MaxIdleTimeout || timeout < m.config.MinIdleTimeout && !isFirstEventTimeout {
+		t.Fatalf("the watch counts as broken after an idle time of %v", timeout)
 	}
 }
 
-// receiveInTime sends an event as late as a live watch may.
+// receiveInTime delivers an event after the longest interval that the protocol allows.
 func (m *model) receiveInTime(t *testing.T) {
 	t.Helper()
 	const eventInterval = 2 * time.Second
@@ -101,22 +102,23 @@
 	m.r.Succeeded()
 	m.failures = 0
 	if !m.r.IdleDeadline().After(m.now.Add(eventInterval)) {
-		t.Fatal("broken before the next event is due")
+		t.Fatal("the watch counts as broken before the next event is due")
 	}
 }
 
-// fallSilent lets the watch break, which must be early enough to get what is missed within 6 s.
-func (m *model) fallSilent(t *testing.T, random float64) {
+// breakWatch lets the idle deadline pass without an event and reopens the watch. The deadline must be early enough that
+// missed changes are received within 6 s.
+func (m *model) breakWatch(t *testing.T, random float64) {
 	t.Helper()
 	deadline := m.r.IdleDeadline()
 	if deadline.After(m.r.lastReceived.Add(5 * time.Second)) {
-		t.Fatalf("a silence of %v is allowed", deadline.Sub(m.r.lastReceived))
+		t.Fatalf("an idle time of %v is allowed", deadline.Sub(m.r.lastReceived))
 	}
 	m.now = deadline
 	m.r.Opened(m.now, random)
 }
 
-// end ends the watch and calls again when the client may.
+// end ends the watch and makes the next call when the Reconnector allows it.
 func (m *model) end(t *testing.T, random float64) {
 	t.Helper()
 	next := m.r.Ended(m.now, random)
