--- a/internal/control/gossip/gossip_test.go
+++ b/internal/control/gossip/gossip_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A message is of its kind alone, no changed byte passes, and its age wraps with the timestamp.
+// A message has exactly one kind, a change of any byte is detected, and its age is right though the timestamp wraps
+// around.
 func TestEncode_FramesAKindAndItsAge(t *testing.T) {
 	const kind = 0x51
 	now := time.Hour
@@ -17,7 +18,7 @@
 		for i := range text {
 			text[i] ^= 0x10
 			if IsKind(kind, text) {
-				t.Errorf("byte %d changed, and still a message", i)
+				t.Errorf("the message is accepted with byte %d changed", i)
 			}
 			text[i] ^= 0x10
 		}
@@ -28,6 +29,6 @@
 		}
 	}
 	if IsKind(kind, nil) || IsKind(kind, Encode(kind, now, make([]byte, MaxMessageBytes-HeaderBytes+1))) {
-		t.Error("too short or too long, and a message")
+		t.Error("a message that is too short or too long is accepted")
 	}
 }
--- a/internal/control/gossip/load_test.go
+++ b/internal/control/gossip/load_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%v, want %v", load.Observations, sent)
 	}
 	if _, ok := DecodeLoad(time.Hour, Encode(kindLoad, time.Hour, []byte{1, 2})); ok {
-		t.Error("half an observation decodes")
+		t.Error("a message with an incomplete observation was decoded")
 	}
 }
 
@@ -57,7 +57,7 @@
 	o.Add(1, 6)
 	o.Budget.Earn(1)
 	if o.Flush(now+interval-1, interval, 0) != nil {
-		t.Error("a message before its interval is over")
+		t.Error("a message before its interval has elapsed")
 	}
 	load, ok := DecodeLoad(now, o.Flush(now+interval, interval, 0))
 	if !ok || len(load.Observations) != 1 || load.Observations[0] != (Observation{Key: 1, Value: 6}) {
@@ -72,7 +72,7 @@
 		o.Add(uint32(i), 1)
 	}
 	if o.Budget.Bytes != 3*MaxMessageBytes {
-		t.Errorf("budget of %v bytes, want one full message to each", o.Budget.Bytes)
+		t.Errorf("budget of %v bytes, want one message of maximum length to each aggregator", o.Budget.Bytes)
 	}
 	message := o.Flush(time.Hour, 0, 0)
 	if len(message) != EncodedSize(MaxObservations) || len(message) > MaxMessageBytes {
--- a/internal/control/gossip/outbox.go
+++ b/internal/control/gossip/outbox.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Outbox collects load observations for the next message and limits messages to what the queries served have earned.
-// Make it with NewOutbox; it is not safe for concurrent use.
+// Outbox collects load observations for the next message and limits messages by a Budget. Make it with NewOutbox; it is
+// not safe for concurrent use.
 type Outbox struct {
 	Budget  Budget
 	pending []Observation
 	next    time.Duration // clock time of the earliest next message
 }
 
-// NewOutbox returns an empty outbox of one of so many aggregators.
+// NewOutbox returns the empty outbox of one of so many aggregators.
 func NewOutbox(aggregators int) Outbox { return Outbox{Budget: NewBudget(aggregators)} }
 
-// Add queues an observation. It replaces an older one of the same server, and is dropped when the message is full.
+// Add queues an observation. It replaces a pending one of the same server, and is dropped if the message is full.
 func (o *Outbox) Add(key uint32, value byte) {
 	for i := range o.pending {
 		if o.pending[i].Key == key {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Flush returns the message to send to all peers at now, or nil if there is nothing to send, the last message is less
-// than interval ago, or the budget is too small.
+// Flush returns the message to send to all peers at now, or nil if there is nothing to send, the previous message is
+// not yet interval ago, or the budget is too small.
 func (o *Outbox) Flush(now, interval time.Duration, zone int) []byte {
 	if len(o.pending) == 0 || now < o.next || !o.Budget.Spend(len(o.pending)) {
 		return nil
