--- a/internal/control/backoff/backoff_test.go
+++ b/internal/control/backoff/backoff_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// overloadedService accepts up to a number of calls in a second; if there are more, all of them wait for too long
+// overloadedService accepts up to callsPerSecond calls in a second; if there are more, all of them wait for too long
 // and fail.
 type overloadedService struct {
 	callsPerSecond int
 	random         *rand.Rand
 }
 
-// connected returns how many of so many clients, which all lost the service at one moment, are connected after 20 s.
+// connected returns how many of so many clients that were all disconnected at the same time are connected after 20 s.
 func (s overloadedService) connected(clients int, initial Backoff) (connected int) {
-	const done = -1 // in place of the time of the next call
+	const noCall = -1 // in place of the time of the next call: the client is connected
 	nextCall := make([]time.Duration, clients)
 	backoffs := make([]Backoff, clients)
 	for i := range backoffs {
@@ -25,7 +25,7 @@
 	for second := time.Duration(0); second < 20*time.Second; second += time.Second {
 		var callers []int // with repetitions
 		for i := range nextCall {
-			for nextCall[i] != done && nextCall[i] < second+time.Second {
+			for nextCall[i] != noCall && nextCall[i] < second+time.Second {
 				callers = append(callers, i)
 				nextCall[i] += backoffs[i].Next(s.random.Float64())
 			}
@@ -34,8 +34,8 @@
 			continue
 		}
 		for _, i := range callers {
-			if nextCall[i] != done {
-				nextCall[i] = done
+			if nextCall[i] != noCall {
+				nextCall[i] = noCall
 				connected++
 			}
 		}
@@ -43,8 +43,8 @@
 	return connected
 }
 
-// A service that accepts 30 calls per second and loses 80 clients at one moment gets them all back by ForFleet;
-// clients that call every 200 ms keep it overloaded for ever.
+// 80 clients that a service disconnects at the same time all reconnect with ForFleet if it accepts 30 calls per second;
+// clients that call every 200 ms would keep it overloaded permanently.
 func TestForFleet_AllClientsReconnect(t *testing.T) {
 	const capacity, clients, minWait = 30, 80, 200 * time.Millisecond
 	for name, test := range map[string]struct {
