--- a/internal/control/retrybudget/retrybudget.go
+++ b/internal/control/retrybudget/retrybudget.go
@@ -11,8 +11,8 @@
 // Limits state how many retries may be sent within every window.
 type Limits struct {
 	Window time.Duration // if it is not positive, retries are not limited
-	Base   float64       // retries allowed whatever the number of requests
-	Ratio  float64       // further retries allowed for each request
+	Base   float64       // retries allowed regardless of the number of requests
+	Ratio  float64       // additional retries allowed per request
 }
 
 // Budget is a sliding window of requests and retries. Make it with New; it is not safe for concurrent use.
@@ -25,7 +25,7 @@
 // New returns a budget with those limits, before any request.
 func New(limits Limits) Budget { return Budget{limits: limits} }
 
-// RecordRequest counts a request that earns retries.
+// RecordRequest counts a request, which allows Limits.Ratio further retries.
 func (b *Budget) RecordRequest(now time.Duration) { b.requests.Add(now, now-b.limits.Window-1) }
 
 // RecordRetry counts a retry that was sent.
