--- a/internal/control/retrydetect/retrydetect_test.go
+++ b/internal/control/retrydetect/retrydetect_test.go
@@ -7,8 +7,8 @@
 
 const tick = 10 * time.Millisecond
 
-// unmarked is an attempt where clients do not mark their retries.
-func unmarked(timeLeft time.Duration) Attempt { return Attempt{TimeLeft: timeLeft, Tolerance: tick} }
+// unmarked returns an attempt of a client that does not mark its retries.
+func unmarked(remaining time.Duration) Attempt { return Attempt{TimeLeft: remaining, Tolerance: tick} }
 
 func TestDetector_WhereClientsMarkRetries(t *testing.T) {
 	var d Detector
@@ -23,12 +23,12 @@
 	}
 	attempt.TimeLeft = 2*time.Second + tick
 	if !d.IsFirstAttempt(attempt) {
-		t.Error("a marked retry with all the time left of a first attempt counts as a retry")
+		t.Error("a marked retry with the remaining time of a first attempt counts as a retry")
 	}
 }
 
-// Where clients do not mark retries, first attempts are those with the time left that most queries have, and a change of
-// it is learned.
+// If clients do not mark retries, attempts with the most frequent remaining time count as first attempts, and a change
+// of that time is learned.
 func TestDetector_WhereClientsDoNotMarkRetries(t *testing.T) {
 	var d Detector
 	for i := range 30 {
@@ -43,11 +43,11 @@
 		}
 	}
 	if firsts != 0 {
-		t.Errorf("%d of the first %d attempts with another time left count as first attempts", firsts, maxVotes)
+		t.Errorf("%d of the first %d attempts with another remaining time count as first attempts", firsts, maxVotes)
 	}
 	for range 2 {
 		if !d.IsFirstAttempt(unmarked(time.Second)) {
-			t.Error("the new time left of first attempts is not learned")
+			t.Error("the new remaining time of first attempts is not learned")
 		}
 	}
 }
