--- a/internal/control/tokenbucket/tokenbucket_test.go
+++ b/internal/control/tokenbucket/tokenbucket_test.go
@@ -16,7 +16,7 @@
 		return n
 	}
 	if got := taken(0, time.Second); got != 2 {
-		t.Errorf("%d tokens after a second at 2 a second", got)
+		t.Errorf("%d tokens after one second at 2 per second", got)
 	}
 	if got := taken(0, time.Hour); got != burstSeconds*2 {
 		t.Errorf("%d tokens after an hour, want a burst of %d", got, burstSeconds*2)
@@ -28,6 +28,6 @@
 		t.Error("a bucket without a limit must always have tokens")
 	}
 	if taken(2, time.Hour) != 10 {
-		t.Error("an unknown customer has no limit")
+		t.Error("an unknown tenant must have no limit")
 	}
 }
