--- a/internal/query/bib1.go
+++ b/internal/query/bib1.go
@@ -38,7 +38,7 @@
 	completenessField    = 3 // complete field
 )
 
-// useAttributes are the values of the Use attribute by the names of indexes; empty: the server's choice.
+// useAttributes maps the names of indexes to values of the Use attribute; the empty name is the server's choice.
 var useAttributes = map[string]int{
 	"":               1016,
 	"cql.anywhere":   1035,
@@ -54,7 +54,7 @@
 	"caption.text":   1010,
 }
 
-// relationAttributes are the values of the Relation attribute. All, Any and Exact have none of their own.
+// relationAttributes maps relations to values of the Relation attribute. All, Any and Exact have no value of their own.
 var relationAttributes = map[Relation]int{
 	Less:           1,
 	LessOrEqual:    2,
@@ -69,7 +69,7 @@
 	relationsByAttribute = inverse(relationAttributes)
 )
 
-// inverse returns a map from values to keys. The values differ.
+// inverse returns a map from values to keys. The values must be distinct.
 func inverse[K comparable](m map[K]int) map[int]K {
 	inverted := make(map[int]K, len(m))
 	for key, value := range m {
@@ -115,7 +115,7 @@
 			structure = structurePhrase
 		}
 	}
-	term, truncation := cutTruncation(clause.Term)
+	term, truncation := trimTruncation(clause.Term)
 	attributes := []Attribute{
 		{Type: UseAttr, Value: use},
 		{Type: RelationAttr, Value: relationAttributes[relation]},
@@ -133,9 +133,9 @@
 	return attributes, unescape(term), nil
 }
 
-// cutTruncation removes the unescaped * at the start and end of a term, and returns the value of the Truncation attribute
-// that stands for them; 0: there is none.
-func cutTruncation(term string) (rest string, truncation int) {
+// trimTruncation removes an unescaped * at the start and at the end of a term, and returns the corresponding value of
+// the Truncation attribute; 0 if there is none.
+func trimTruncation(term string) (rest string, truncation int) {
 	leftTruncated := false
 	rightTruncated := false
 	if len(term) > 1 && strings.HasPrefix(term, "*") {
@@ -157,8 +157,8 @@
 	return term, truncation
 }
 
-// ExpandAny turns each clause with the relation Any into clauses of its words, joined by Or: a Type-1 query has no
-// relation for it.
+// ExpandAny replaces each clause with the relation Any by one clause per word, joined by Or: Type-1 queries have no
+// corresponding relation.
 func ExpandAny(tree Node) Node {
 	switch tree := tree.(type) {
 	case *Boolean:
@@ -178,7 +178,7 @@
 	return tree
 }
 
-// ClauseFromAttributes returns the clause that Bib-1 attributes and a plain term stand for. The error is an *Error.
+// ClauseFromAttributes returns the clause for Bib-1 attributes and a plain-text term. The error is an *Error.
 func ClauseFromAttributes(attributes []Attribute, term string) (*Clause, error) {
 	d := attributeDecoder{clause: Clause{Relation: Equal}}
 	for _, attribute := range attributes {
@@ -248,8 +248,8 @@
 	return unsupportedStructure.errorf("%d", value)
 }
 
-// finish returns the clause with its term. A word list or a complete field is a relation in CQL, truncation a part of the
-// term.
+// finish returns the clause with its term. CQL represents a word list and a complete field by relations, and truncation
+// within the term.
 func (d *attributeDecoder) finish(term string) *Clause {
 	c := d.clause
 	if c.Relation == Equal {
--- a/internal/query/cqlparse.go
+++ b/internal/query/cqlparse.go
@@ -9,7 +9,7 @@
 	depth    int // of open parentheses
 }
 
-// Parse reads CQL 1.2 without sorting, proximity and prefix assignments. Its error is an *Error.
+// Parse parses CQL 1.2, except for sorting, proximity and prefix assignments. The error is an *Error.
 func Parse(text string) (Node, error) {
 	if len(text) > MaxTextBytes {
 		return nil, queryTooLong.errorf("over %d characters", MaxTextBytes)
@@ -34,18 +34,18 @@
 
 func (p *parser) atEnd() bool { return p.position >= len(p.tokens) }
 
-// next is the next token; there must be one.
+// next returns the next token; there must be one.
 func (p *parser) next() token { return p.tokens[p.position] }
 
-// nextIs says whether the next token is an unquoted keyword or symbol.
+// nextIs reports whether the next token is the given keyword or symbol, unquoted.
 func (p *parser) nextIs(keyword string) bool {
 	return !p.atEnd() && !p.next().quoted && strings.EqualFold(p.next().text, keyword)
 }
 
-// parseQuery parses operands that are joined by boolean operators, from the left.
+// parseQuery parses operands joined by boolean operators, which are left-associative.
 func (p *parser) parseQuery() (Node, error) {
 	p.depth++
-	if p.depth > MaxDepth { // guards the stack
+	if p.depth > MaxDepth { // bounds the recursion
 		return nil, nestedTooDeep.errorf("nested over %d deep", MaxDepth)
 	}
 	defer func() { p.depth-- }()
@@ -63,7 +63,7 @@
 		}
 		p.position++
 		if p.nextIs("/") {
-			return nil, unsupportedBooleanMod.errorf("boolean modifiers are not supported")
+			return nil, unsupportedBooleanModifier.errorf("boolean modifiers are not supported")
 		}
 		right, err := p.parseOperand()
 		if err != nil {
@@ -74,7 +74,7 @@
 	return nil, err
 }
 
-// nextOperator returns the boolean operator that is the next token, if it is one.
+// nextOperator returns the next token as a boolean operator; ok is false if it is none.
 func (p *parser) nextOperator() (operator Operator, ok bool, err error) {
 	switch {
 	case p.nextIs("and"):
@@ -89,7 +89,7 @@
 	return "", false, nil
 }
 
-// relations are the relations by their words in CQL.
+// relations maps CQL keywords and symbols to relations.
 var relations = map[string]Relation{
 	"=":     Equal,
 	"scr":   Equal,
@@ -104,7 +104,7 @@
 	"<>":    NotEqual,
 }
 
-// parseOperand parses a query in parentheses, or a clause.
+// parseOperand parses a parenthesized query or a clause.
 func (p *parser) parseOperand() (Node, error) {
 	switch {
 	case p.atEnd():
@@ -146,7 +146,7 @@
 	}
 	p.position++
 	if p.nextIs("/") {
-		return nil, unsupportedModifier.errorf("relation modifiers are not supported")
+		return nil, unsupportedRelationModifier.errorf("relation modifiers are not supported")
 	}
 	if p.atEnd() || p.next().isSymbol() {
 		return nil, syntaxError.errorf("no term after %s", relation)
@@ -156,7 +156,7 @@
 	return newClause(first.text, relation, term)
 }
 
-// newClause returns a clause, or a reference to a result set, which CQL writes as a clause.
+// newClause returns a clause, or a reference to a result set, which has the syntax of a clause.
 func newClause(index string, relation Relation, term string) (Node, error) {
 	index = strings.ToLower(index)
 	switch index {
--- a/internal/query/cqlprint.go
+++ b/internal/query/cqlprint.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// CQL prints a tree as CQL. Parse reads the result as the same tree.
+// CQL formats a tree as CQL. Parse returns the same tree for the result.
 func CQL(tree Node) string {
 	var out strings.Builder
 	printNode(&out, tree)
@@ -27,7 +27,7 @@
 	}
 }
 
-// printOperand prints an operand of a boolean operator, in parentheses if it is a boolean itself.
+// printOperand prints an operand of a boolean operator, in parentheses if it is a *Boolean itself.
 func printOperand(out *strings.Builder, node Node) {
 	if _, nested := node.(*Boolean); !nested {
 		printNode(out, node)
@@ -38,9 +38,9 @@
 	out.WriteByte(')')
 }
 
-// quote puts a term into quotes, unless it reads as the same term without.
+// quote encloses a term in quotes, unless it is parsed as the same term without them.
 func quote(term string) string {
-	if readsUnquoted(term) {
+	if isBareTerm(term) {
 		return term
 	}
 	var b strings.Builder
@@ -48,7 +48,7 @@
 	for i := 0; i < len(term); i++ {
 		if term[i] == '"' {
 			b.WriteByte('\\')
-		} else if term[i] == '\\' && i+1 < len(term) { // an escaped character stays as it is
+		} else if term[i] == '\\' && i+1 < len(term) { // an escaped character is copied unchanged
 			b.WriteByte(term[i])
 			i++
 		}
@@ -58,13 +58,14 @@
 	return b.String()
 }
 
-// isLetterOrDigit says whether a byte is an ASCII letter or digit, or belongs to a character that is not ASCII.
+// isLetterOrDigit reports whether a byte is an ASCII letter or digit, or part of a non-ASCII character.
 func isLetterOrDigit(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
-// readsUnquoted says whether a term has letters, digits and non-ASCII characters only, and is no keyword of CQL.
-func readsUnquoted(term string) bool {
+// isBareTerm reports whether a term is not empty, consists of letters, digits and non-ASCII characters, and is not a
+// CQL keyword.
+func isBareTerm(term string) bool {
 	if term == "" {
 		return false
 	}
--- a/internal/query/cqlscan.go
+++ b/internal/query/cqlscan.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// token is a token of CQL. Operators and punctuation are unquoted.
+// token is a CQL token. Operators and punctuation are never quoted.
 type token struct {
 	text   string
 	quoted bool
 }
 
-// isSymbol says whether a token is punctuation or the symbol of a relation, and not a term.
+// isSymbol reports whether a token is punctuation or a relation symbol, and not a term.
 func (t token) isSymbol() bool {
 	if t.quoted {
 		return false
@@ -20,34 +20,34 @@
 	return false
 }
 
-// scan cuts CQL into tokens.
+// scan splits CQL text into tokens.
 func scan(text string) (tokens []token, err error) {
-	for at := 0; at < len(text); {
+	for offset := 0; offset < len(text); {
 		var next token
 		length := 1
-		switch text[at] {
+		switch text[offset] {
 		case ' ', '\t', '\n', '\r':
-			at++
+			offset++
 			continue
 		case '(', ')', '/':
-			next.text = text[at : at+1]
+			next.text = text[offset : offset+1]
 		case '<', '>', '=':
-			length = relationLength(text[at:])
-			next.text = text[at : at+length]
+			length = relationLength(text[offset:])
+			next.text = text[offset : offset+length]
 		case '"':
-			if next, length, err = scanQuoted(text[at:]); err != nil {
+			if next, length, err = scanQuoted(text[offset:]); err != nil {
 				return nil, err
 			}
 		default:
-			next, length = scanWord(text[at:])
+			next, length = scanWord(text[offset:])
 		}
 		tokens = append(tokens, next)
-		at += length
+		offset += length
 	}
 	return tokens, nil
 }
 
-// relationLength is the length of the symbol of a relation at the start of text.
+// relationLength returns the length of the relation symbol at the start of text.
 func relationLength(text string) int {
 	if len(text) > 1 && (text[1] == '=' || text[0] == '<' && text[1] == '>') {
 		return 2
@@ -55,28 +55,28 @@
 	return 1
 }
 
-// scanQuoted reads the quoted string at the start of text, and returns its length with the quotes. A backslash before a
-// quote is dropped; before any other character it stays, as it escapes that in the term.
+// scanQuoted scans the quoted string at the start of text, and returns its length including the quotes. A backslash
+// before a quote is removed; before any other character it is preserved, because it escapes that character in the term.
 func scanQuoted(text string) (t token, length int, err error) {
 	var b strings.Builder
-	at := 1
-	for ; at < len(text) && text[at] != '"'; at++ {
-		if text[at] == '\\' && at+1 < len(text) {
-			if text[at+1] != '"' {
+	offset := 1
+	for ; offset < len(text) && text[offset] != '"'; offset++ {
+		if text[offset] == '\\' && offset+1 < len(text) {
+			if text[offset+1] != '"' {
 				b.WriteByte('\\')
 			}
-			at++
+			offset++
 		}
-		b.WriteByte(text[at])
+		b.WriteByte(text[offset])
 	}
-	if at >= len(text) {
+	if offset >= len(text) {
 		return token{}, 0, unclosedQuote.errorf("a quote is not closed")
 	}
-	return token{text: b.String(), quoted: true}, at + 1, nil
+	return token{text: b.String(), quoted: true}, offset + 1, nil
 }
 
-// scanWord reads the word at the start of text, and returns its length in text. A backslash at its end, which escapes
-// nothing, stands for itself.
+// scanWord scans the word at the start of text, and returns its length in text. A trailing backslash, which escapes
+// nothing, is a literal backslash.
 func scanWord(text string) (t token, length int) {
 	for length < len(text) && !strings.ContainsRune(" \t\r\n()/<>=\"", rune(text[length])) {
 		length++
--- a/internal/query/escape.go
+++ b/internal/query/escape.go
@@ -4,10 +4,10 @@
 
 var termEscaper = strings.NewReplacer(`\`, `\\`, `*`, `\*`, `?`, `\?`, `^`, `\^`)
 
-// escape makes a CQL term of plain text: a backslash escapes each character that has a meaning in a term.
+// escape converts plain text to a CQL term: each character with a special meaning in a term is escaped by a backslash.
 func escape(text string) string { return termEscaper.Replace(text) }
 
-// unescape makes plain text of a CQL term.
+// unescape converts a CQL term to plain text.
 func unescape(term string) string {
 	var b strings.Builder
 	for i := 0; i < len(term); i++ {
@@ -19,7 +19,7 @@
 	return b.String()
 }
 
-// endsEscaped says whether the last character of a term is escaped by an odd number of backslashes before it.
+// endsEscaped reports whether the last character of a term is escaped, by an odd number of backslashes before it.
 func endsEscaped(term string) bool {
 	backslashes := 0
 	for i := len(term) - 2; i >= 0 && term[i] == '\\'; i-- {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,12 +1,12 @@
-// Package query represents a search as a tree, reads and prints it as CQL, and translates it from and to the Bib-1
-// attributes of a Type-1 query. The encoding of these on the wire is not its concern.
+// Package query represents a search as a tree, parses and prints it as CQL, and translates it from and to the Bib-1
+// attributes of a Type-1 query. It does not encode them for the wire.
 package query
 
-// Limits on a query. They guard the recursion, and the servers that run the query.
+// Limits on a query. They bound the recursion, and the load on the servers that run the query.
 const (
 	MaxTextBytes = 4 << 10 // of CQL
 	MaxDepth     = 24      // of nested operators or parentheses
-	MaxOperators = 40      // of the whole query
+	MaxOperators = 40      // of the complete query
 )
 
 // Node is a query or a part of one: *Boolean, *Clause or *ResultSet.
@@ -15,11 +15,11 @@
 // Operator is a boolean operator.
 type Operator string
 
-// Operators, as CQL writes them.
+// Operators, in CQL syntax.
 const (
 	And Operator = "and"
 	Or  Operator = "or"
-	Not Operator = "not" // left and not right
+	Not Operator = "not" // matches left, but not right
 )
 
 // Boolean joins two queries.
@@ -31,7 +31,7 @@
 // Relation is the relation of an index to a term.
 type Relation string
 
-// Relations, as CQL writes them.
+// Relations, in CQL syntax.
 const (
 	Equal          Relation = "="
 	Exact          Relation = "=="
@@ -48,10 +48,10 @@
 type Clause struct {
 	Index    string // empty: the server's choice
 	Relation Relation
-	Term     string // a * at its start or end is truncation; a backslash escapes the next character
+	Term     string // * at its start or end is truncation; a backslash escapes the next character
 }
 
-// ResultSet refers to an earlier result set by its name.
+// ResultSet refers to a result set of a previous search by its name.
 type ResultSet struct{ Name string }
 
 func (*Boolean) node()   {}
@@ -83,7 +83,7 @@
 }
 
 // ResolveResultSets returns a tree in which the references to result sets are replaced by the queries that find returns
-// for their names. The argument is not changed; the result may share parts with it.
+// for their names. The argument is not modified; the result may share nodes with it.
 func ResolveResultSets(tree Node, find func(name string) (Node, error)) (Node, error) {
 	switch tree := tree.(type) {
 	case *ResultSet:
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A query prints as the CQL that it was parsed from, in a canonical form.
+// A parsed query is printed as equivalent CQL in canonical form.
 func TestParse_PrintsCanonicalCQL(t *testing.T) {
 	for in, want := range map[string]string{
 		`cat`:                                   `cat`,
@@ -33,7 +33,7 @@
 	}
 }
 
-// An invalid query has the SRU diagnostic of its error, and one of Bib-1.
+// An invalid query is rejected with the SRU diagnostic of its error, and with a Bib-1 diagnostic.
 func TestParse_InvalidQuery_Diagnostic(t *testing.T) {
 	deep := ""
 	for range MaxDepth + 1 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A clause is the same after a translation to Bib-1 and back.
+// A clause is unchanged by translation to Bib-1 and back.
 func TestAttributes_RoundTrip(t *testing.T) {
 	for _, in := range []string{
 		`cat`, `dc.title = "two words"`, `dc.title all "two words"`, `dc.creator == "Rai, B"`, `dc.date <= 2026`,
@@ -67,7 +67,7 @@
 		}
 		back, err := ClauseFromAttributes(attrs, term)
 		if err != nil || !reflect.DeepEqual(back, n) {
-			t.Errorf("%s: %v %q came back as %+v, %v", in, attrs, term, back, err)
+			t.Errorf("%s: %v %q was translated back to %+v, %v", in, attrs, term, back, err)
 		}
 	}
 	anyOf, err := Parse(`dc.title any "a b c"`)
@@ -79,7 +79,7 @@
 	}
 	for _, a := range []Attribute{{1, 9999}, {2, 100}, {3, 9}, {4, 99}, {5, 50}, {6, 9}, {7, 1}} {
 		if _, err := ClauseFromAttributes([]Attribute{a}, "x"); err == nil {
-			t.Errorf("%v was accepted", a)
+			t.Errorf("unsupported attribute %v was accepted", a)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// What is printed reads back as the same query, and a clause keeps its meaning through Bib-1.
+// Printed CQL is parsed as the same query, and the Bib-1 attributes of a clause are accepted.
 func FuzzQuery(f *testing.F) {
 	for _, s := range []string{`a and (b or c)`, `dc.title = "x*"`, `"\\\"" not a\`, `dc.date >= 2026`, `cql.resultSetId = x`} {
 		f.Add(s)
@@ -110,7 +110,7 @@
 		}
 		again, err := Parse(CQL(n))
 		if len(CQL(n)) <= MaxTextBytes && (err != nil || !reflect.DeepEqual(n, again)) {
-			t.Fatalf("%q: printed %q, read back %v", text, CQL(n), err)
+			t.Fatalf("%q: printed as %q, which is parsed with error %v or as another query", text, CQL(n), err)
 		}
 		if c, ok := n.(*Clause); ok && c.Relation != Any {
 			attrs, term, err := Attributes(c)
--- a/internal/query/work.go
+++ b/internal/query/work.go
@@ -18,7 +18,7 @@
 // Action is what a correction does to a record; empty: the work is a search.
 type Action string
 
-// Actions, as SRU's record update names them.
+// Actions, as named by SRU Record Update.
 const (
 	ActionCreate  Action = "create"
 	ActionReplace Action = "replace"
@@ -32,8 +32,8 @@
 	XML    string `json:"xml,omitempty"`
 }
 
-// Identifier is the record's ID, or without one the first identifier element of its XML (Dublin Core); empty: there is
-// neither.
+// Identifier returns the record's ID or, if that is empty, the first identifier element of its XML (Dublin Core); empty
+// if there is neither.
 func (r Record) Identifier() string {
 	if r.ID != "" {
 		return r.ID
@@ -56,12 +56,12 @@
 
 // PartResult is a server's answer to a part.
 type PartResult struct {
-	Count      int         `json:"count"` // records found, which may be more than Records
+	Count      int         `json:"count"` // records found, of which Records may contain fewer
 	Records    []Record    `json:"records,omitempty"`
-	Diagnostic *Diagnostic `json:"trouble,omitempty"` // the server has rejected the request itself
+	Diagnostic *Diagnostic `json:"trouble,omitempty"` // set if the server rejected the request
 }
 
-// Diagnostic is a server's diagnostic of a request.
+// Diagnostic is a diagnostic that a server returned for a request.
 type Diagnostic struct {
 	SRU     string `json:"sru,omitempty"` // URI
 	Bib1    int    `json:"bib1,omitempty"`
@@ -72,7 +72,7 @@
 func Encode[T Work | PartResult](value T) string {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // text and numbers only: cannot fail
+		panic(err) // strings and numbers only: cannot fail
 	}
 	return string(text)
 }
