--- a/internal/aggregator/actions.go
+++ b/internal/aggregator/actions.go
@@ -7,14 +7,14 @@
 	"rooktrestle/balance"
 )
 
-// pendingCall are attempts of this turn that one call carries to a server.
+// pendingCall is a call to a server that is sent at the end of the turn, with one or more attempts.
 type pendingCall struct {
 	server   balance.Replica
 	attempts []OutgoingAttempt
 }
 
-// perform carries out the balancer's actions in order. What they bring about goes back to the balancer within the same
-// turn: the parts of a second step are known at once.
+// perform performs the balancer's actions in order. Events that result from them, such as the parts of a second step,
+// are passed to the balancer within the same turn.
 func (c *Core) perform(actions []balance.Action) {
 	for len(actions) > 0 {
 		for _, action := range actions {
@@ -22,7 +22,7 @@
 		}
 		actions = nil
 		if len(c.pending) > 0 {
-			actions = c.decide()
+			actions = c.runBalancer()
 		}
 	}
 	c.sendCalls()
@@ -42,9 +42,9 @@
 	case balance.Answer:
 		c.answer(action)
 	case balance.Reject:
-		c.abandon(action.Query, FinalAnswer{Status: StatusRejected, RetryAfter: action.RetryAfter})
+		c.closeOrReroute(action.Query, FinalAnswer{Status: StatusRejected, RetryAfter: action.RetryAfter})
 	case balance.Fail:
-		c.abandon(action.Query, FinalAnswer{Status: StatusFailed})
+		c.closeOrReroute(action.Query, FinalAnswer{Status: StatusFailed})
 	case balance.Probe:
 		c.Counters.Probes++
 		c.backend.Probe(c.now, c.Server(action.Replica))
@@ -52,7 +52,7 @@
 		c.sendGossip(action.Payload)
 	case balance.StartTimer:
 		c.timerAt = c.now.Add(action.After)
-	case balance.WatchEndpoints: // discovery watches all the time
+	case balance.WatchEndpoints: // nothing to do: discovery watches permanently
 	}
 }
 
@@ -63,11 +63,12 @@
 		return
 	}
 	a := c.startAttempt(p, action.Replica, c.attemptDeadline(p.query, action.Timeout))
-	c.addCall(action.Replica, c.call(a))
-	p.mayHaveRun = append(p.mayHaveRun, c.now)
+	c.addToCall(action.Replica, c.outgoingAttempt(a))
+	p.possibleRuns = append(p.possibleRuns, c.now)
 }
 
-// attemptDeadline is the deadline of an attempt that is sent now: the query's, or sooner by a time-out that is not 0.
+// attemptDeadline returns the deadline of an attempt that is sent now: the earlier of the query's deadline and the end
+// of the timeout, if that is not 0.
 func (c *Core) attemptDeadline(q *query, timeout time.Duration) time.Time {
 	if timeout <= 0 {
 		return q.deadline
@@ -75,11 +76,12 @@
 	return earliest(q.deadline, c.now.Add(timeout))
 }
 
-// call is an attempt as the backend gets it. It is made before the attempt counts among those that may have run.
-func (c *Core) call(attempt *attempt) OutgoingAttempt {
+// outgoingAttempt returns an attempt as the backend sends it. It must be called before the attempt's send time is added
+// to the part's possibleRuns, which determine WriteBy.
+func (c *Core) outgoingAttempt(attempt *attempt) OutgoingAttempt {
 	part := attempt.part
 	query := part.query
-	call := OutgoingAttempt{
+	outgoing := OutgoingAttempt{
 		Attempt:           attempt.id,
 		Name:              part.name,
 		Class:             query.request.Class,
@@ -92,39 +94,39 @@
 		Abandoned:         attempt.abandoned,
 	}
 	if query.view != nil {
-		call.Epoch = query.view.Map.Epoch
+		outgoing.Epoch = query.view.Map.Epoch
 	}
 	for _, answered := range query.firstStep {
-		call.FirstStepShards = append(call.FirstStepShards, answered.spec.Shard)
+		outgoing.FirstStepShards = append(outgoing.FirstStepShards, answered.spec.Shard)
 	}
-	return call
+	return outgoing
 }
 
-// writeBy is when a part's next attempt must be written at the latest, because servers recognise repetitions only
-// within a window; zero if there is no such time. The balancer keeps to the window when it chooses, but a
-// connection may come up late, or be slow.
+// writeBy returns the time by which a part's next attempt must be written, because servers recognize duplicates only
+// within the deduplication window; zero if there is no limit. The balancer observes the window when it decides to send,
+// but the connection may take longer to be established, or be slow.
 func (c *Core) writeBy(p *part) (latest time.Time) {
 	window := classValue(c.limits.DedupWindows, p.query.request.Class)
-	if window > 0 && len(p.mayHaveRun) > 0 {
-		latest = slices.MinFunc(p.mayHaveRun, time.Time.Compare).Add(window)
+	if window > 0 && len(p.possibleRuns) > 0 {
+		latest = slices.MinFunc(p.possibleRuns, time.Time.Compare).Add(window)
 	}
 	return latest
 }
 
-// addCall adds an attempt to the turn's calls. Attempts for one server share calls of at most Limits.MaxCallParts:
-// servers reject all parts of a longer one.
-func (c *Core) addCall(server balance.Replica, call OutgoingAttempt) {
+// addToCall adds an attempt to the calls of this turn. Attempts for one server share calls of at most
+// Limits.MaxCallParts parts: servers reject all parts of a longer call.
+func (c *Core) addToCall(server balance.Replica, attempt OutgoingAttempt) {
 	for i := range c.calls {
 		pending := &c.calls[i]
 		if pending.server == server && len(pending.attempts) < c.limits.MaxCallParts {
-			pending.attempts = append(pending.attempts, call)
+			pending.attempts = append(pending.attempts, attempt)
 			return
 		}
 	}
-	c.calls = append(c.calls, pendingCall{server: server, attempts: []OutgoingAttempt{call}})
+	c.calls = append(c.calls, pendingCall{server: server, attempts: []OutgoingAttempt{attempt}})
 }
 
-// sendCalls hands the calls of this turn to the backend.
+// sendCalls passes the calls of this turn to the backend.
 func (c *Core) sendCalls() {
 	for _, call := range c.calls {
 		c.backend.Send(c.now, c.Server(call.server), call.attempts)
--- a/internal/aggregator/answer.go
+++ b/internal/aggregator/answer.go
@@ -9,10 +9,11 @@
 	"rooktrestle/balance"
 )
 
-// followUpSuffix ends the names of the parts of a second step.
+// followUpSuffix is the end of the names of parts of a second step.
 const followUpSuffix = ".phase2"
 
-// answer ends a step of a query with the parts that have answered. A class with a second step goes on to it.
+// answer completes a step of a query with the parts that are answered. After the first step it starts the second, if
+// the class has one and any part is answered.
 func (c *Core) answer(action balance.Answer) {
 	q := c.queries[action.Query]
 	if q == nil {
@@ -31,7 +32,7 @@
 	c.close(q, final)
 }
 
-// answeredParts are the answered parts of the present step.
+// answeredParts returns the answered parts of the current step.
 func (q *query) answeredParts() (answered []*part) {
 	for _, p := range q.parts {
 		if p.answered {
@@ -41,7 +42,7 @@
 	return answered
 }
 
-// servedAnswer is the final answer that the answered parts make up. The caller says whether it is complete.
+// servedAnswer builds the final answer from the answered parts. The caller sets Complete.
 func (q *query) servedAnswer() FinalAnswer {
 	final := FinalAnswer{Status: StatusServed, TotalParts: len(q.parts)}
 	for _, p := range q.parts {
@@ -55,8 +56,8 @@
 	return final
 }
 
-// startFollowUp begins a query's second step: at most maxParts parts of equal weight, at those shards of its first step
-// that scored highest.
+// startFollowUp starts a query's second step: at most maxParts parts of equal weight, for the shards with the highest
+// scores in its first step.
 func (c *Core) startFollowUp(query *query, maxParts int) {
 	c.Counters.FollowUps++
 	query.followUp = true
@@ -71,9 +72,9 @@
 	c.submitParts(query, specs, followUpSuffix)
 }
 
-// abandon ends a query that the balancer rejects or fails. Where its outdated view was the reason it is restarted, or
-// waits for a newer map.
-func (c *Core) abandon(id balance.ID, final FinalAnswer) {
+// closeOrReroute closes a query that the balancer rejects or fails. If its outdated view may be the reason, the query
+// is restarted or waits for a newer map instead.
+func (c *Core) closeOrReroute(id balance.ID, final FinalAnswer) {
 	q := c.queries[id]
 	if q == nil {
 		return
@@ -88,7 +89,7 @@
 	c.close(q, final)
 }
 
-// close gives a query its one final answer. Attempts of it that are in flight stay so until they end.
+// close completes a query with its one final answer. Its attempts stay in flight until they end.
 func (c *Core) close(query *query, final FinalAnswer) {
 	delete(c.queries, query.id)
 	delete(c.byRequest, query.request)
@@ -100,22 +101,23 @@
 		final.DeadlineExceeded = true
 	}
 	c.Counters.countFinal(final)
-	c.traceQuery(query.request, final.Status, reasonOfEnd(final))
+	c.traceQuery(query.request, final.Status, finalReason(final))
 	if final.Status == StatusDisconnected {
-		query.request.done = true // nobody is left to take the answer
+		query.request.completed = true // there is no client to answer
 		return
 	}
 	c.deliver(query.request, final)
 }
 
-// deadlineReached says that a query's deadline is less than DeadlineMargin away, or over.
+// deadlineReached reports whether a query's deadline has expired, or expires within DeadlineMargin.
 func (c *Core) deadlineReached(q *query) bool {
 	return !c.now.Before(q.deadline.Add(-c.limits.DeadlineMargin))
 }
 
-// deliver hands a final answer to the request's frontend. A panic there ends at that request.
+// deliver passes a final answer to the request's frontend. It recovers from a panic there, which affects only that
+// request.
 func (c *Core) deliver(request *Request, final FinalAnswer) {
-	request.done = true
+	request.completed = true
 	c.Counters.countAnswer(classValue(c.limits.ClassNames, request.Class), final.Status)
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/aggregator/attempt.go
+++ b/internal/aggregator/attempt.go
@@ -11,8 +11,8 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// attempt is one sending of a part to one server. It is held until its AttemptEnded event, which may come long
-// after the query has its final answer.
+// attempt is one sending of a part to one server. It is retained until its AttemptEnded event, which may arrive long
+// after the final answer of the query.
 type attempt struct {
 	id       AttemptID
 	part     *part
@@ -22,22 +22,22 @@
 	deadline time.Time
 	index    int // in Core.timeouts
 
-	timedOut        bool // the deadline is over; the backend has yet to end it
+	timedOut        bool // its deadline has expired; the backend has not reported its end yet
 	cancelRequested atomic.Bool
 }
 
-// abandoned reports that the attempt must not begin any more. Any goroutine may call it.
+// abandoned reports that the attempt must not start. Any goroutine may call it.
 func (a *attempt) abandoned(now time.Time) bool {
-	return a.cancelRequested.Load() || a.part.over.Load() || a.part.query.request.disconnected(now)
+	return a.cancelRequested.Load() || a.part.closed.Load() || a.part.query.request.disconnected(now)
 }
 
-// Deadline is when the attempt times out; attempts of one time come in the order of their sending.
+// Deadline returns when the attempt times out; attempts with the same deadline are ordered by when they were sent.
 func (a *attempt) Deadline() (time.Time, uint64) { return a.deadline, a.sequence }
 
-// QueueIndex is where the queue of time-outs keeps the attempt's index.
+// QueueIndex returns where the timeout queue stores the attempt's position.
 func (a *attempt) QueueIndex() *int { return &a.index }
 
-// startAttempt notes a new attempt of a part as in flight.
+// startAttempt registers a new attempt of a part as in flight.
 func (c *Core) startAttempt(part *part, server balance.Replica, deadline time.Time) *attempt {
 	query := part.query
 	c.attemptsSent++
@@ -61,7 +61,7 @@
 	return newAttempt
 }
 
-// cancelTimedOutAttempts cancels the attempts whose deadline is over, in the order of their sending.
+// cancelTimedOutAttempts cancels the attempts whose deadline has expired, in the order in which they were sent.
 func (c *Core) cancelTimedOutAttempts() {
 	expired := c.timeouts.Pop(c.now)
 	slices.SortFunc(expired, bySequence)
@@ -71,7 +71,7 @@
 	}
 }
 
-// cancel lets the backend give an attempt up. The attempt is in flight until the backend reports its end.
+// cancel lets the backend cancel an attempt. The attempt stays in flight until the backend reports its end.
 func (c *Core) cancel(a *attempt) {
 	if a.cancelRequested.Swap(true) {
 		return
@@ -80,7 +80,7 @@
 	c.backend.Cancel(c.now, a.id, c.isOpen(a.part) && !a.part.answered)
 }
 
-// attemptEnded handles the end of an attempt. A second end of one attempt is ignored.
+// attemptEnded handles the end of an attempt. A second AttemptEnded event for the same attempt is ignored.
 func (c *Core) attemptEnded(ended AttemptEnded) {
 	a := c.attempts[ended.Attempt]
 	if a == nil {
@@ -92,7 +92,7 @@
 	c.Counters.Results[result]++
 	c.traceAttempt(a, result, ended.Err)
 	if neverRan(result) {
-		a.part.forgetSend(a.sent)
+		a.part.removeSendTime(a.sent)
 	}
 	if result == balance.OK && c.isOpen(a.part) {
 		a.part.setAnswer(ended.Score, ended.Value)
@@ -121,7 +121,7 @@
 	}
 }
 
-// removeAttempt notes that an attempt is in flight no longer.
+// removeAttempt removes an attempt that is no longer in flight.
 func (c *Core) removeAttempt(a *attempt) {
 	delete(c.attempts, a.id)
 	c.timeouts.Remove(a)
@@ -129,7 +129,7 @@
 	c.releaseRequestID(a.part.query)
 }
 
-// result is the result that the balancer learns: an attempt that was canceled because of its time-out has timed out.
+// result returns the result for the balancer: an attempt that was canceled because it timed out has timed out.
 func (a *attempt) result(err error) balance.AttemptResult {
 	result := attemptResult(err)
 	if a.timedOut && (result == balance.Canceled || result == balance.NotSent) {
@@ -138,12 +138,13 @@
 	return result
 }
 
-// neverRan says that the server did not begin to execute an attempt of that result.
+// neverRan reports whether the server did not start to execute an attempt with this result.
 func neverRan(result balance.AttemptResult) bool {
 	return result == balance.QueueFull || result == balance.ConnectFailed || result == balance.NotSent
 }
 
-// mayRunUnanswered says that an attempt of that result may have been executed, or may be still.
+// mayRunUnanswered reports whether an attempt with this result may have run, or may still be running, without an
+// answer.
 func mayRunUnanswered(result balance.AttemptResult) bool {
 	switch result {
 	case balance.Failed, balance.TimedOut, balance.Reset, balance.Canceled:
@@ -152,26 +153,26 @@
 	return false
 }
 
-// forgetSend removes the send time of an attempt that did not run.
-func (p *part) forgetSend(sent time.Time) {
-	if i := slices.Index(p.mayHaveRun, sent); i >= 0 {
-		p.mayHaveRun = slices.Delete(p.mayHaveRun, i, i+1)
+// removeSendTime removes the send time of an attempt that did not run.
+func (p *part) removeSendTime(sent time.Time) {
+	if i := slices.Index(p.possibleRuns, sent); i >= 0 {
+		p.possibleRuns = slices.Delete(p.possibleRuns, i, i+1)
 	}
 }
 
-// setAnswer keeps the first answer of a part.
+// setAnswer stores the first answer of a part; further ones are ignored.
 func (p *part) setAnswer(score float64, value string) {
 	if p.answered {
 		return
 	}
 	p.answered = true
-	p.over.Store(true)
+	p.closed.Store(true)
 	p.score = score
 	p.value = value
 }
 
-// updatePlacement notes the end of an attempt for the resharding rules, and reports whether its server rejected it
-// with a claim that the shard map contradicts. failure may be nil.
+// updatePlacement records the end of an attempt for the resharding rules, and reports whether its server rejected it
+// for a reason that the shard map contradicts. failure may be nil.
 func (c *Core) updatePlacement(
 	attempt *attempt, result balance.AttemptResult, failure *AttemptError,
 ) (falseRejection bool) {
@@ -190,18 +191,18 @@
 	return false
 }
 
-// observe hands the summary of an ended attempt to those who judge its server.
+// observe passes the summary of an ended attempt to the outlier table and to the observer.
 func (c *Core) observe(summary AttemptSummary) {
 	if c.Outliers != nil {
-		c.Outliers.AttemptEnded(c.clock(c.now), string(summary.Server), c.clock(summary.Sent), summary.outlierEnd())
+		c.Outliers.AttemptEnded(c.clock(c.now), string(summary.Server), c.clock(summary.Sent), summary.outlierOutcome())
 	}
 	if c.Observer != nil {
 		c.Observer.AttemptEnded(c.now, summary)
 	}
 }
 
-// attemptsInFlight are the attempts in flight that satisfy a condition, in the order of their sending: nothing may
-// depend on the order of a map.
+// attemptsInFlight returns the attempts in flight that satisfy a condition, in the order in which they were sent:
+// behavior must not depend on the iteration order of a map.
 func (c *Core) attemptsInFlight(condition func(*attempt) bool) (list []*attempt) {
 	for _, a := range c.attempts {
 		if condition(a) {
--- a/internal/aggregator/attempt_error.go
+++ b/internal/aggregator/attempt_error.go
@@ -8,43 +8,43 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// Progress says how far an attempt had come when it ended.
+// Progress is the stage that an attempt had reached when it ended.
 type Progress int
 
-// The stages of an attempt, in their order.
+// Stages of an attempt, in order.
 const (
-	NotConnected  Progress = iota // no connection came up, or nothing of the request was written
+	NotConnected  Progress = iota // no connection was established, or nothing of the request was written
 	PartlyWritten                 // the connection broke before the request's last byte was written
-	Written                       // all of the request was written, or it cannot be proved that it was not
+	Written                       // the complete request was written, or it cannot be proved that it was not
 	Answered                      // the server answered
 )
 
 var progressNames = [...]string{"not connected", "partly written", "written", "answered"}
 
-// String is the stage's name in error messages.
+// String returns the stage's name in error messages.
 func (p Progress) String() string { return progressNames[p] }
 
-// AttemptError says how an attempt or a probe failed. Progress and the flags alone decide whether the attempt may have
-// run at the server; Server, Part and Cause are for those who read the message.
+// AttemptError describes how an attempt or a probe failed. Progress and the flags alone determine whether the attempt
+// may have run at the server; Server, Part and Cause only add detail to the message.
 type AttemptError struct {
-	Server balance.Replica // that it was sent to; empty: not stated
+	Server balance.Replica // the destination; empty: not stated
 	Part   string          // name of its part; empty: not stated, or a probe
 
 	Progress Progress
-	Rejected bool // the server did not take it, and has not executed it
-	Canceled bool // this aggregator gave it up
-	// MapStatus is what a server said of the shard map when it rejected the attempt because of it, and Epoch the map's
-	// epoch that it named.
+	Rejected bool // the server did not accept it, and has not executed it
+	Canceled bool // this aggregator canceled it
+	// MapStatus is the mismatch of shard maps because of which the server rejected the attempt, and Epoch the epoch of
+	// the map that the server named.
 	MapStatus shardmap.Mismatch
 	Epoch     shardmap.Epoch
 
-	CorruptStream bool // with Written: the server is alive, but what it sent on the connection cannot be decoded
-	LocalCause    bool // with NotConnected: this aggregator lacked a resource; it says nothing of the server
+	CorruptStream bool // with Written: the server is responsive, but what it sent on the connection cannot be decoded
+	LocalCause    bool // with NotConnected: this aggregator lacked a resource; implies nothing about the server
 
 	Cause error // may be nil
 }
 
-// Error says to which server and for which part, as far as stated, how far the attempt came, and why it ended.
+// Error states the part and the server, if set, the outcome with the stage reached, and the cause.
 func (e *AttemptError) Error() string {
 	text := e.subject() + e.outcome()
 	if e.Cause != nil {
@@ -53,7 +53,7 @@
 	return text
 }
 
-// subject names what was attempted where: "part q.1 to s1: ", or less if it is not stated.
+// subject returns a prefix that names the part and the server, if set: "part q.1 to s1: ".
 func (e *AttemptError) subject() string {
 	switch {
 	case e.Part != "" && e.Server != "":
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// outcome says how the attempt ended and, unless it was rejected, how far it had come.
+// outcome states how the attempt ended and, unless it was rejected, the stage it had reached.
 func (e *AttemptError) outcome() string {
 	switch {
 	case e.Rejected:
@@ -77,11 +77,11 @@
 	return e.Progress.String()
 }
 
-// Unwrap is the cause, which may be nil.
+// Unwrap returns the cause, which may be nil.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// SetSubject notes in err, if it is an AttemptError, to which server and for which part the attempt was. Backends
-// call it at the end of an attempt, once for each error.
+// SetSubject sets the server and the part of err, if it is an AttemptError. Backends call it at the end of an attempt,
+// once for each error.
 func SetSubject(err error, server balance.Replica, part string) {
 	var failure *AttemptError
 	if errors.As(err, &failure) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// attemptResult is the result that an attempt's error stands for. An error that is no AttemptError proves nothing about
-// what the server did: the attempt may have run.
+// attemptResult returns the result that an attempt's error stands for. An error other than an AttemptError proves
+// nothing about what the server did: the attempt may have run.
 func attemptResult(err error) balance.AttemptResult {
 	var failure *AttemptError
 	switch {
@@ -100,7 +100,7 @@
 	case !errors.As(err, &failure):
 		return balance.Reset
 	case failure.Rejected && failure.MapStatus != shardmap.NoMismatch:
-		return balance.NotSent // the rejection says nothing of the server's load
+		return balance.NotSent // the rejection does not indicate an overloaded server
 	case failure.Rejected:
 		return balance.QueueFull
 	case failure.Canceled && failure.Progress < Written:
--- a/internal/aggregator/benchmark_test.go
+++ b/internal/aggregator/benchmark_test.go
@@ -8,37 +8,37 @@
 	"rooktrestle/balance"
 )
 
-// silentBackend is a backend that nothing comes back from.
-type silentBackend struct{ sent []OutgoingAttempt }
+// recordingBackend records the attempts sent, and reports no events.
+type recordingBackend struct{ sent []OutgoingAttempt }
 
-func (b *silentBackend) Send(_ time.Time, _ Server, calls []OutgoingAttempt) {
-	b.sent = append(b.sent, calls...)
+func (b *recordingBackend) Send(_ time.Time, _ Server, attempts []OutgoingAttempt) {
+	b.sent = append(b.sent, attempts...)
 }
-func (b *silentBackend) Cancel(time.Time, AttemptID, bool) {}
-func (b *silentBackend) Probe(time.Time, Server)           {}
+func (b *recordingBackend) Cancel(time.Time, AttemptID, bool) {}
+func (b *recordingBackend) Probe(time.Time, Server)           {}
 
-type silentFrontend struct{}
+type discardingFrontend struct{}
 
-func (silentFrontend) Answer(FinalAnswer) {}
+func (discardingFrontend) Answer(FinalAnswer) {}
 
-// onePartRequest is a request of one shard whose client waits for an hour.
+// onePartRequest returns a request for one shard whose client waits for an hour.
 func onePartRequest(id string, class, shard int, arrived time.Time) *Request {
 	return &Request{
 		ID:       id,
 		Class:    class,
 		Arrived:  arrived,
 		Timeout:  time.Hour,
-		Frontend: silentFrontend{},
+		Frontend: discardingFrontend{},
 		Parts:    []PartSpec{{Shard: shard, Weight: 1}},
 	}
 }
 
-// coreHolding is a core that holds so many queries of one part each, all sent and none answered.
-func coreHolding(tb testing.TB, held, nodes int) (*Core, *silentBackend) {
+// coreWithOpenQueries returns a core with open queries of one part each, all of which are sent and unanswered.
+func coreWithOpenQueries(tb testing.TB, openQueries, servers int) (*Core, *recordingBackend) {
 	tb.Helper()
 	settings := balancerSettings()
-	settings.Cells = nodes
-	settings.Shards = nodes
+	settings.Cells = servers
+	settings.Shards = servers
 	for i := range settings.Classes {
 		settings.Classes[i].Objective = time.Hour
 		settings.Classes[i].Deadline = 2 * time.Hour
@@ -47,28 +47,28 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	back := &silentBackend{}
+	back := &recordingBackend{}
 	c := NewCore(b, back, Limits{FollowUpParts: []int{0, 0, 0}}, startTime)
 	var list []Server
-	for i := range nodes {
+	for i := range servers {
 		list = append(list, Server{ID: balance.Replica(fmt.Sprint("n", i)), Addr: "x", Cell: i})
 	}
 	events := []Event{EndpointsChanged{Kind: balance.ListFull, Servers: list}}
-	for i := range held {
-		events = append(events, RequestArrived{Request: onePartRequest(fmt.Sprint("h", i), 1, i%nodes, startTime)})
+	for i := range openQueries {
+		events = append(events, RequestArrived{Request: onePartRequest(fmt.Sprint("h", i), 1, i%servers, startTime)})
 	}
 	c.Turn(startTime, events)
 	back.sent = nil
 	return c, back
 }
 
-// One query taken, sent, answered and let go while others are held: what a turn costs by what is held and by the number
-// of nodes. Run with -bench Held.
+// Measures the cost of receiving, sending and answering one query, depending on the number of other open queries and on
+// the number of nodes. Run with -bench Held.
 func BenchmarkCore_OneQueryWhileOthersAreHeld(b *testing.B) {
 	for _, nodes := range []int{12, 1000} {
 		for _, held := range []int{0, 100, 1000, 10_000} {
 			b.Run(fmt.Sprintf("%d-nodes/%d-held", nodes, held), func(b *testing.B) {
-				c, back := coreHolding(b, held, nodes)
+				c, back := coreWithOpenQueries(b, held, nodes)
 				now := startTime
 				b.ReportAllocs()
 				b.ResetTimer()
--- a/internal/aggregator/clockstep_test.go
+++ b/internal/aggregator/clockstep_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// A server's start is stated by a clock that may be set at any time, while the balancer's goes on evenly. Whenever it was
-// set, the server counts as started when it did; or later, where that cannot be told.
+// Start times of servers are stated on the wall clock, which may be set at any time, and are converted to the
+// balancer's clock, which is monotonic. Whenever the wall clock was set, the result is the true start time, or a later
+// one where it cannot be determined.
 func TestWallClock_StartsThroughSteps(t *testing.T) {
 	epoch := time.Unix(1_700_000_000, 0)
-	const start = 100 * time.Second // of a server, in time that has passed since the epoch
+	const start = 100 * time.Second // of a server, in time elapsed since the epoch
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 2 * time.Second, time.Hour} {
 		for name, steppedAt := range map[string]time.Duration{
 			"before the start":               start - 10*time.Second,
@@ -17,7 +18,7 @@
 			"after the list":                 start + time.Minute,
 		} {
 			var clock wallClock
-			wall := func(passed time.Duration) time.Time { // what the wall clock shows
+			wall := func(passed time.Duration) time.Time { // time on the wall clock
 				if passed >= steppedAt {
 					return epoch.Add(passed + step)
 				}
@@ -28,7 +29,7 @@
 			}
 			const listedAt = start + 5*time.Second
 			clock.observe(listedAt, wall(listedAt), epoch)
-			got := clock.spanClock(listedAt, wall(listedAt), wall(start))
+			got := clock.toBalancerClock(listedAt, wall(listedAt), wall(start))
 			if got < start || got > listedAt {
 				t.Errorf("set by %v %s: started at %v, want %v", step, name, got, start)
 			}
@@ -54,26 +55,26 @@
 	} {
 		var clock wallClock
 		clock.observe(now, wall, wall.Add(-now))
-		if got := clock.spanClock(now, wall, test.stated); got != test.want {
+		if got := clock.toBalancerClock(now, wall, test.stated); got != test.want {
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
 }
 
-// A start keeps its time on the balancer's clock, however often it is listed and whatever the clock of the machines says by
-// then; a new start has a time of its own.
+// A start time is converted to the balancer's clock once, however often it is listed and whatever the wall clock shows
+// by then; another start time is converted again.
 func TestCore_StartIsNotedOnce(t *testing.T) {
 	h := newHarness(t)
 	server := Server{ID: "a", Addr: "a:1", Started: h.now}
-	h.turn(changeOf(server))
+	h.turn(endpointChange(server))
 	first := h.core.startedAt(server)
 	h.now = h.now.Add(time.Hour)
-	h.turn(changeOf(server))
+	h.turn(endpointChange(server))
 	if again := h.core.startedAt(server); again != first {
 		t.Errorf("started at %v, and at %v when it was listed again", first, again)
 	}
 	server.Started = h.now
-	h.turn(changeOf(server))
+	h.turn(endpointChange(server))
 	if next := h.core.startedAt(server); next != first+time.Hour {
 		t.Errorf("started again at %v, want %v", next, first+time.Hour)
 	}
--- a/internal/aggregator/core_test.go
+++ b/internal/aggregator/core_test.go
@@ -14,9 +14,9 @@
 func TestCore_AnswersWithAllParts(t *testing.T) {
 	h := newHarness(t)
 	h.request("q", 0, 3)
-	if len(h.calls) != 3 || h.calls[1].Name != "q.1" || h.servers[0].Addr == "" ||
-		!h.calls[0].Deadline.Equal(startTime.Add(timeout)) {
-		t.Fatalf("%+v", h.calls)
+	if len(h.attempts) != 3 || h.attempts[1].Name != "q.1" || h.servers[0].Addr == "" ||
+		!h.attempts[0].Deadline.Equal(startTime.Add(timeout)) {
+		t.Fatalf("%+v", h.attempts)
 	}
 	h.endAll(nil)
 	items := []Item{{Shard: 0, Value: "q.0"}, {Shard: 1, Value: "q.1"}, {Shard: 2, Value: "q.2"}}
@@ -25,7 +25,7 @@
 	}
 	queries, parts, attempts := h.core.OpenQueries(), len(h.core.parts), len(h.core.attempts)
 	if queries != 0 || parts != 0 || attempts != 0 {
-		t.Errorf("held: %d queries, %d parts, %d attempts", queries, parts, attempts)
+		t.Errorf("left: %d queries, %d parts, %d attempts", queries, parts, attempts)
 	}
 }
 
@@ -33,10 +33,10 @@
 	h := newHarness(t)
 	h.request("q", 2, 4)
 	h.endAll(nil)
-	if len(h.answers) != 0 || len(h.calls) != 2 {
-		t.Fatalf("%+v %+v", h.answers, h.calls)
+	if len(h.answers) != 0 || len(h.attempts) != 2 {
+		t.Fatalf("%+v %+v", h.answers, h.attempts)
 	}
-	for i, c := range h.calls {
+	for i, c := range h.attempts {
 		want := fmt.Sprintf("q.%d.phase2", 3-i)
 		if c.Name != want || !c.FollowUp || !c.FirstStepComplete ||
 			!slices.Equal(c.FirstStepShards, []int{0, 1, 2, 3}) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The partial answer leaves before the deadline, at which the core itself would fail the query.
+// The partial answer is delivered before the deadline, at which the core itself would fail the query.
 func TestCore_PartialAnswerLeavesBeforeTheDeadline(t *testing.T) {
 	settings := balancerSettings()
 	const partial = 2 // the class that may be answered partially
@@ -65,9 +65,9 @@
 	h.turn(twoServers)
 	h.request("q", partial, 4)
 	var answered []Event
-	for _, call := range h.takeCalls() {
-		if call.Shard != 0 { // its servers never answer
-			answered = append(answered, AttemptEnded{Attempt: call.Attempt, Value: call.Name})
+	for _, attempt := range h.takeAttempts() {
+		if attempt.Shard != 0 { // its servers do not answer
+			answered = append(answered, AttemptEnded{Attempt: attempt.Attempt, Value: attempt.Name})
 		}
 	}
 	h.turn(answered...)
@@ -104,10 +104,10 @@
 		h := newHarness(t)
 		h.request("q", 1, 1)
 		h.endAll(c.err)
-		if neverRan && len(h.calls) == 0 { // the balancer may wait before it retries
+		if neverRan && len(h.attempts) == 0 { // the balancer may wait before it retries
 			h.advance(time.Second)
 		}
-		retried := len(h.calls) > 0
+		retried := len(h.attempts) > 0
 		switch {
 		case retried && !neverRan:
 			t.Errorf("%v: the part was sent again", c.err)
@@ -132,9 +132,9 @@
 		t.Error(h.core.Counters)
 	}
 	h.turn(AttemptEnded{Attempt: h.canceled[0], Value: "late"})
-	h.answer("q") // there is one still
+	h.answer("q") // there is still only one
 	if h.core.Counters.Results[balance.OK] != 0 {
-		t.Error("a late answer counted")
+		t.Error("an answer of a canceled attempt was counted")
 	}
 }
 
@@ -146,10 +146,10 @@
 	if len(h.canceled) != 1 || h.core.Counters.Disconnected != 1 || len(h.answers) != 0 {
 		t.Errorf("%v %v", h.canceled, h.core.Counters)
 	}
-	sent := len(h.calls)
+	sent := len(h.attempts)
 	h.endAll(&AttemptError{Progress: NotConnected, Canceled: true})
 	h.now = h.now.Add(time.Second)
-	if len(h.calls) > 0 {
+	if len(h.attempts) > 0 {
 		t.Errorf("sent again after %d", sent)
 	}
 }
@@ -162,27 +162,28 @@
 	if final := h.answer("4"); final.Status != StatusRejected || final.RetryAfter != time.Second {
 		t.Errorf("%+v", final)
 	}
-	h.request("0", 0, 1) // an id that is open already
+	h.request("0", 0, 1) // an id that is in use
 	if h.core.Counters.RejectedAtCapacity != 2 {
 		t.Error(h.core.Counters)
 	}
 }
 
-// Gossip states when it was sent by the cores' clocks, which must agree whenever each core was started.
+// Gossip messages state when they were sent on the clock of the sending core. The clocks of all cores must agree modulo
+// epochAlignment, whenever each core was started.
 func TestCore_ClocksOfCoresStartedApartAgree(t *testing.T) {
 	b, err := balance.New(balancerSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := NewCore(b, nil, Limits{}, startTime)
-	later := NewCore(b, nil, Limits{}, startTime.Add(12345*time.Millisecond))
+	second := NewCore(b, nil, Limits{}, startTime.Add(12345*time.Millisecond))
 	at := startTime.Add(time.Minute)
-	if apart := (first.clock(at) - later.clock(at)) % clockStep; apart != 0 {
-		t.Errorf("%v apart", apart)
+	if apart := (first.clock(at) - second.clock(at)) % epochAlignment; apart != 0 {
+		t.Errorf("the clocks differ by %v modulo epochAlignment", apart)
 	}
 }
 
-// A datagram that is no gossip is counted, and the balancer never sees it.
+// A datagram that is not a gossip message is counted, and not passed to the balancer.
 func TestCore_InvalidGossipIsCounted(t *testing.T) {
 	h := newHarness(t)
 	h.turn(GossipReceived{Payload: []byte("noise")}, GossipReceived{}, GossipReceived{Payload: make([]byte, 300)})
@@ -190,7 +191,7 @@
 		t.Errorf("%d messages, %d invalid", h.core.Counters.GossipReceived, h.core.Counters.GossipInvalid)
 	}
 	var sent gossipRecorder
-	h.core.perform([]balance.Action{balance.SendGossip{Payload: []byte("x")}}) // nobody to send it to
+	h.core.perform([]balance.Action{balance.SendGossip{Payload: []byte("x")}}) // gossip is disabled
 	h.core.Gossip = &sent
 	h.core.perform([]balance.Action{balance.SendGossip{Payload: []byte("x")}})
 	if len(sent) != 1 || h.core.Counters.GossipSent != 1 {
@@ -207,7 +208,7 @@
 		{ID: "a", State: balance.Removed},
 	}})
 	started := list.Endpoints[0].Started
-	if started != h.core.clock(startTime)-time.Minute || started < clockMargin-time.Minute {
+	if started != h.core.clock(startTime)-time.Minute || started < epochMargin-time.Minute {
 		t.Errorf("%+v", list.Endpoints)
 	}
 	if list.Endpoints[1].Started != 0 || list.Endpoints[2].Started != 0 {
@@ -240,7 +241,8 @@
 	}
 }
 
-// A request id is in use while an attempt under it is in flight: a server would take another query's part for a retry.
+// A request id is in use while an attempt of its query is in flight: otherwise a server would treat a part of another
+// query with this id as a retry.
 func TestCore_RequestIDIsInUseWhileAnAttemptIsInFlight(t *testing.T) {
 	h := newHarness(t)
 	r := h.request("q", 0, 2)
@@ -255,7 +257,7 @@
 	}
 	h.endAll(&AttemptError{Progress: Written, Canceled: true})
 	h.request("q", 0, 1)
-	if len(h.calls) != 1 {
+	if len(h.attempts) != 1 {
 		t.Error("rejected though nothing of it is in flight")
 	}
 	h.endAll(nil)
@@ -264,8 +266,8 @@
 	}
 }
 
-// What several aggregators lose at a server reduces its traffic here, before the next query is balanced; answers
-// that come after their attempts were given up restore it.
+// Failures that several aggregators report for a server reduce its traffic here, before the next query is balanced;
+// answers that arrive after their attempts were canceled restore it.
 func TestCore_LossesOfOtherAggregatorsReduceTraffic(t *testing.T) {
 	newTable := func() *outlier.Table {
 		return outlier.New(outlier.Config{
@@ -281,12 +283,13 @@
 	h.core.Outliers = newTable()
 	h.turn(twoServers)
 	h.request("lost", 0, 1)
-	h.turn(AttemptEnded{Attempt: h.calls[0].Attempt, Err: &AttemptError{Progress: Answered}})
+	h.turn(AttemptEnded{Attempt: h.attempts[0].Attempt, Err: &AttemptError{Progress: Answered}})
 	server := string(h.servers[0].ID)
 	if len(sent) != 1 || h.core.Counters.GossipSent != uint64(len(sent)) {
-		t.Fatalf("%d messages of %d lost attempts, %d counted", len(sent), len(h.servers), h.core.Counters.GossipSent)
+		t.Fatalf("%d gossip messages for %d failed attempts, %d counted",
+			len(sent), len(h.servers), h.core.Counters.GossipSent)
 	}
-	// Another aggregator receives it thirty times, and sends next to nothing there.
+	// Another aggregator receives the message thirty times, and sends almost nothing to the server.
 	other := newHarness(t)
 	other.core.Outliers = newTable()
 	other.turn(twoServers)
@@ -297,11 +300,11 @@
 	other.turn(gossip...)
 	fraction, invalid := other.core.Outliers.TrafficFraction(server), other.core.Counters.GossipInvalid
 	if fraction >= 0.01 || invalid != 0 {
-		t.Fatalf("fraction %v, %d invalid messages", fraction, invalid)
+		t.Fatalf("traffic fraction %v, %d invalid messages", fraction, invalid)
 	}
 	for i := range 15 {
 		other.request(fmt.Sprint("q", i), 0, 1)
-		other.turn(AttemptEnded{Attempt: other.calls[len(other.calls)-1].Attempt})
+		other.turn(AttemptEnded{Attempt: other.attempts[len(other.attempts)-1].Attempt})
 	}
 	for _, s := range other.servers {
 		if string(s.ID) == server {
@@ -313,10 +316,11 @@
 	}
 	other.turn()
 	if other.core.Outliers.TrafficFraction(server) != 1 {
-		t.Errorf("fraction %v of a server that answers late", other.core.Outliers.TrafficFraction(server))
+		t.Errorf("traffic fraction %v of a server that answers again, want 1",
+			other.core.Outliers.TrafficFraction(server))
 	}
-	other.turn(changeOf(Server{ID: balance.Replica(server), State: balance.Removed}))
+	other.turn(endpointChange(Server{ID: balance.Replica(server), State: balance.Removed}))
 	if other.core.Outliers.TrafficFraction(server) != 1 || len(other.core.servers) != 1 {
-		t.Error("a server that was removed is still known")
+		t.Error("a removed server is still listed or ejected")
 	}
 }
--- a/internal/aggregator/counters.go
+++ b/internal/aggregator/counters.go
@@ -10,22 +10,22 @@
 // Counters count what an aggregator received, sent and answered since its start.
 type Counters struct {
 	Received           uint64 // requests
-	Served             uint64 // answers, complete ones and partial ones
-	Partial            uint64 // of those served
+	Served             uint64 // complete and partial answers
+	Partial            uint64 // of Served
 	Rejected           uint64
-	RejectedAtCapacity uint64 // of those rejected: on arrival, before the balancer had them
+	RejectedAtCapacity uint64 // of Rejected: on arrival, before they were submitted to the balancer
 	Failed             uint64
-	Disconnected       uint64 // clients that left before their answer
-	DeadlineExceeded   uint64 // of those not served: the client's time was over
+	Disconnected       uint64 // clients that disconnected before their answer
+	DeadlineExceeded   uint64 // not served because the client's deadline expired
 	FollowUps          uint64 // second steps
 
 	Restarts uint64 // queries restarted on a newer shard map
 	MapWaits uint64 // queries that waited for a newer shard map
 
 	Sent     uint64 // attempts
-	Canceled uint64 // attempts that the backend was to give up
+	Canceled uint64 // attempts that the backend was asked to cancel
 	Probes   uint64
-	Results  [balance.NotSent + 1]uint64 // ends of attempts, by balance.AttemptResult
+	Results  [balance.NotSent + 1]uint64 // ended attempts, by balance.AttemptResult
 
 	GossipSent     uint64 // messages to other aggregators
 	GossipReceived uint64 // datagrams from other aggregators, invalid ones included
@@ -33,7 +33,7 @@
 
 	Panics uint64 // recovered
 
-	ByClass map[string]*ClassCounters // answers, by the class's name
+	ByClass map[string]*ClassCounters // answers, by class name
 }
 
 // ClassCounters count the answers to the queries of one class.
@@ -63,7 +63,7 @@
 	}
 }
 
-// countFinal counts the end of a query.
+// countFinal counts a completed query.
 func (c *Counters) countFinal(final FinalAnswer) {
 	if final.DeadlineExceeded && final.Status != StatusDisconnected {
 		c.DeadlineExceeded++
@@ -83,12 +83,12 @@
 	}
 }
 
-// resultNames are the names of balance.AttemptResult in String.
+// resultNames are the names of balance.AttemptResult in Counters.String and in the trace.
 var resultNames = [...]string{
 	"served", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "not sent",
 }
 
-// String is the text of GET /counters and of the log at exit. Operators' scripts read it: it must not change.
+// String returns the text of GET /counters and of the log at exit. Operators' scripts parse it: it must not change.
 func (c Counters) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "taken %d; answered: served %d (partial %d), refused %d (full %d), ",
--- a/internal/aggregator/counters_test.go
+++ b/internal/aggregator/counters_test.go
@@ -6,7 +6,7 @@
 	"rooktrestle/balance"
 )
 
-// Operators' scripts read the text of GET /counters: it stays byte for byte.
+// Operators' scripts parse the text of GET /counters: every byte of it must stay the same.
 func TestCounters_StringIsWhatScriptsRead(t *testing.T) {
 	c := Counters{
 		Received:           1,
--- a/internal/aggregator/endpoints.go
+++ b/internal/aggregator/endpoints.go
@@ -16,23 +16,24 @@
 	Cell    int
 	Weight  float64
 	State   balance.EndpointState
-	Started time.Time // start of its process; zero: long ago
+	Started time.Time // when its process started; zero: long ago
 }
 
-// Available says whether a server takes new work, by the endpoint list as last received and by the operators.
+// Available reports whether a server accepts new work: the latest endpoint list has it in service, and no operator has
+// detached it.
 func (c *Core) Available(id balance.Replica) bool {
 	s, ok := c.servers[id]
 	return ok && s.State == balance.InService && !c.maintenance.detached[id]
 }
 
-// Server is what the endpoint list says of a server; a server that is not listed has its ID only.
+// Server returns a server's entry in the endpoint list; for a server that is not listed only the ID is set.
 func (c *Core) Server(id balance.Replica) Server {
 	s := c.servers[id]
 	s.ID = id
 	return s
 }
 
-// InService is the number of servers that take new work.
+// InService returns the number of servers that accept new work.
 func (c *Core) InService() int {
 	available := 0
 	for id := range c.servers {
@@ -43,11 +44,11 @@
 	return available
 }
 
-// updateServers takes a list of servers, or changes of one, and returns it as the balancer gets it.
+// updateServers applies an endpoint list, or changes to one, and returns it in the form for the balancer.
 func (c *Core) updateServers(changed EndpointsChanged) balance.EndpointList {
-	var former map[balance.Replica]Server // that the list need not name any more
+	var previous map[balance.Replica]Server // from the replaced list; nil if the list is only changed
 	if changed.Kind != balance.ListDelta && changed.Kind != balance.ListFailed {
-		former = c.servers
+		previous = c.servers
 		c.servers = make(map[balance.Replica]Server, len(changed.Servers))
 	}
 	list := balance.EndpointList{Kind: changed.Kind}
@@ -55,9 +56,9 @@
 		c.updateServer(s)
 		list.Endpoints = append(list.Endpoints, c.endpoint(s))
 	}
-	for id := range former {
+	for id := range previous {
 		if _, listed := c.servers[id]; !listed {
-			c.maintenance.unlisted(id)
+			c.maintenance.markRemoved(id)
 			delete(c.starts, id)
 		}
 	}
@@ -70,27 +71,27 @@
 	return list
 }
 
-// updateServer takes what the list says of one server.
+// updateServer applies the list's entry for one server.
 func (c *Core) updateServer(server Server) {
 	c.traceServer(server)
 	if server.State == balance.Removed {
 		if _, listed := c.servers[server.ID]; listed {
-			c.maintenance.unlisted(server.ID)
+			c.maintenance.markRemoved(server.ID)
 		}
 		delete(c.servers, server.ID)
 		delete(c.starts, server.ID)
 		return
 	}
 	c.servers[server.ID] = server
-	c.noteStart(server)
-	c.maintenance.listed(server.ID)
+	c.recordStart(server)
+	c.maintenance.markListed(server.ID)
 	if c.Outliers != nil {
 		c.Outliers.Add(string(server.ID), c.startedAt(server))
 	}
 }
 
-// endpoint is a server as the balancer gets it. One that an operator has taken out drains, and an outlier has a reduced
-// fraction of its traffic.
+// endpoint returns a server in the form for the balancer. A server that an operator has detached is draining, and an
+// outlier has a reduced traffic fraction.
 func (c *Core) endpoint(server Server) balance.Endpoint {
 	endpoint := balance.Endpoint{
 		HealthLimits: server.HealthLimits,
@@ -108,13 +109,13 @@
 		return endpoint
 	}
 	if fraction := c.Outliers.TrafficFraction(string(server.ID)); fraction < 1 {
-		endpoint.TrafficFraction = min(fraction, cmp.Or(endpoint.TrafficFraction, 1)) // 0 stands for all of it
+		endpoint.TrafficFraction = min(fraction, cmp.Or(endpoint.TrafficFraction, 1)) // 0 means 1
 	}
 	return endpoint
 }
 
-// startedAt is when a server's process started, by the balancer's clock; 0: long ago. One that an operator has put back
-// counts as started then at the earliest: what it was taken out for has restarted it, as a rule.
+// startedAt returns when a server's process started, on the balancer's clock; 0: long ago. A server that an operator
+// has attached again counts as started at that time or later: it was usually restarted while it was detached.
 func (c *Core) startedAt(s Server) time.Duration {
 	started := c.starts[s.ID].clock
 	if attached, ok := c.maintenance.attached[s.ID]; ok {
@@ -123,14 +124,14 @@
 	return started
 }
 
-// noteStart finds out when a listed server started, once for each of its starts: the balancer takes another time for another
-// start.
-func (c *Core) noteStart(server Server) {
+// recordStart converts the start time of a listed server to the balancer's clock, once for each of its starts: the
+// balancer treats a different time as another start.
+func (c *Core) recordStart(server Server) {
 	if known, ok := c.starts[server.ID]; ok && known.listed.Equal(server.Started) {
 		return
 	}
 	c.starts[server.ID] = serverStart{
 		listed: server.Started,
-		clock:  c.wallClock.spanClock(c.clock(c.now), c.now, server.Started),
+		clock:  c.wallClock.toBalancerClock(c.clock(c.now), c.now, server.Started),
 	}
 }
--- a/internal/aggregator/gossip.go
+++ b/internal/aggregator/gossip.go
@@ -5,7 +5,7 @@
 	"rooktrestle/internal/control/outlier"
 )
 
-// gossipReceived hands a datagram of another aggregator to whom it is for: the table of outliers or the balancer.
+// gossipReceived passes a datagram from another aggregator to its receiver: the outlier table or the balancer.
 func (c *Core) gossipReceived(payload []byte) {
 	c.Counters.GossipReceived++
 	switch {
@@ -18,7 +18,7 @@
 	}
 }
 
-// sendGossip sends a message of the balancer's to the other aggregators.
+// sendGossip sends a gossip message to the other aggregators, if gossip is enabled.
 func (c *Core) sendGossip(payload []byte) {
 	if c.Gossip != nil {
 		c.Counters.GossipSent++
@@ -26,8 +26,8 @@
 	}
 }
 
-// sendLosses sends the other aggregators what was lost here, as often as the table of outliers sees fit.
-func (c *Core) sendLosses() {
+// sendOutlierGossip sends pending observations of the outlier table to the other aggregators, if its budget allows.
+func (c *Core) sendOutlierGossip() {
 	if c.Outliers == nil || c.Gossip == nil {
 		return
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-// lateAnswer notes that a server answered an attempt after it was given up.
+// lateAnswer records that a server answered an attempt after it was canceled.
 func (c *Core) lateAnswer(server balance.Replica) {
 	if c.Outliers != nil {
 		now := c.clock(c.now)
@@ -44,8 +44,8 @@
 	}
 }
 
-// prependOutlierChanges puts the servers whose fraction of traffic has changed, because of what the aggregators lose
-// there, before the other events of the turn, so that the turn's queries go by it.
+// prependOutlierChanges puts the servers whose traffic fraction the outlier table has changed before the other events
+// of the turn, so that the changes apply to the queries of this turn.
 func (c *Core) prependOutlierChanges() {
 	if c.Outliers == nil {
 		return
--- a/internal/aggregator/harness_test.go
+++ b/internal/aggregator/harness_test.go
@@ -19,20 +19,20 @@
 	},
 }
 
-// changeOf is a change of the endpoint list that states one server.
-func changeOf(server Server) EndpointsChanged {
+// endpointChange returns a change of the endpoint list that contains one server.
+func endpointChange(server Server) EndpointsChanged {
 	return EndpointsChanged{Kind: balance.ListDelta, Servers: []Server{server}}
 }
 
-// harness is a core with a backend that only records its calls, and clients that record their answers. Its clock stands
-// still unless the test moves it.
+// harness contains a core with a backend that records attempts, and clients that record their answers. Its clock
+// advances only by the test.
 type harness struct {
 	t         *testing.T
 	core      *Core
 	now       time.Time
-	calls     []OutgoingAttempt // in flight, in the order of sending
+	attempts  []OutgoingAttempt // in flight, in the order of sending
 	callSizes []int             // parts of each call
-	servers   []Server          // that the calls were sent to
+	servers   []Server          // destinations of attempts, by index
 	canceled  []AttemptID
 	probes    []Server
 	answers   map[string][]FinalAnswer
@@ -47,14 +47,14 @@
 func (c client) Answer(final FinalAnswer) {
 	c.harness.answers[c.id] = append(c.harness.answers[c.id], final)
 	if c.id == "panics" {
-		panic("at its answer")
+		panic("in Answer")
 	}
 }
 
-func (h *harness) Send(_ time.Time, to Server, calls []OutgoingAttempt) {
-	h.callSizes = append(h.callSizes, len(calls))
-	for _, c := range calls {
-		h.calls = append(h.calls, c)
+func (h *harness) Send(_ time.Time, to Server, attempts []OutgoingAttempt) {
+	h.callSizes = append(h.callSizes, len(attempts))
+	for _, c := range attempts {
+		h.attempts = append(h.attempts, c)
 		h.servers = append(h.servers, to)
 	}
 }
@@ -63,7 +63,7 @@
 
 func (h *harness) Probe(_ time.Time, to Server) { h.probes = append(h.probes, to) }
 
-// balancerSettings has three classes: idempotent, not idempotent, and with a second step.
+// balancerSettings returns settings with three classes: idempotent, non-idempotent, and with a second step.
 func balancerSettings() balance.Settings {
 	idempotent := balance.Class{
 		Objective:        time.Second,
@@ -97,7 +97,7 @@
 // timeout is how long the clients of the tests wait for their answers.
 const timeout = 3 * time.Second
 
-// newRequest is a request without parts whose client records its answers.
+// newRequest returns a request without parts whose client records its answers.
 func (h *harness) newRequest(id string, class int) *Request {
 	return &Request{
 		ID:       id,
@@ -109,7 +109,7 @@
 	}
 }
 
-// newHarness has two servers, "a" and "b".
+// newHarness returns a harness with two servers, "a" and "b".
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	b, err := balance.New(balancerSettings())
@@ -130,13 +130,13 @@
 
 func (h *harness) turn(events ...Event) { h.core.Turn(h.now, events) }
 
-// advance moves the clock and runs a turn.
+// advance advances the clock by d and runs a turn.
 func (h *harness) advance(d time.Duration) {
 	h.now = h.now.Add(d)
 	h.turn()
 }
 
-// request sends a request of so many parts of equal weight.
+// request sends a request with the given number of parts of equal weight.
 func (h *harness) request(id string, class, parts int) *Request {
 	r := h.newRequest(id, class)
 	for i := range parts {
@@ -146,32 +146,32 @@
 	return r
 }
 
-// endAll ends the calls in flight, each with an error or, if that is nil, with its name as value.
+// endAll ends the attempts in flight, each with err or, if that is nil, with the name of its part as value.
 func (h *harness) endAll(err error) {
 	var events []Event
-	for _, c := range h.takeCalls() {
+	for _, c := range h.takeAttempts() {
 		events = append(events, AttemptEnded{Attempt: c.Attempt, Err: err, Score: float64(c.Shard), Value: c.Name})
 	}
 	h.turn(events...)
 }
 
-// takeCalls takes all calls out of those in flight.
-func (h *harness) takeCalls() []OutgoingAttempt {
-	calls := h.calls
-	h.calls = nil
+// takeAttempts removes and returns all attempts in flight.
+func (h *harness) takeAttempts() []OutgoingAttempt {
+	attempts := h.attempts
+	h.attempts = nil
 	h.servers = nil
-	return calls
+	return attempts
 }
 
-// takeCall takes the call at an index out of those in flight.
-func (h *harness) takeCall(index int) OutgoingAttempt {
-	call := h.calls[index]
-	h.calls = slices.Delete(h.calls, index, index+1)
+// takeAttempt removes and returns the attempt in flight at an index.
+func (h *harness) takeAttempt(index int) OutgoingAttempt {
+	attempt := h.attempts[index]
+	h.attempts = slices.Delete(h.attempts, index, index+1)
 	h.servers = slices.Delete(h.servers, index, index+1)
-	return call
+	return attempt
 }
 
-// answer is the one final answer of a request.
+// answer returns the final answer of a request, and fails the test unless there is exactly one.
 func (h *harness) answer(id string) FinalAnswer {
 	h.t.Helper()
 	if len(h.answers[id]) != 1 {
--- a/internal/aggregator/loop.go
+++ b/internal/aggregator/loop.go
@@ -8,18 +8,18 @@
 	"rooktrestle/balance"
 )
 
-// Clock is the time, and a timer. The program uses SystemClock; tests pass their own.
+// Clock provides the current time and timers. The program uses SystemClock; tests pass their own.
 type Clock interface {
-	// Now is the present time.
+	// Now returns the current time.
 	Now() time.Time
-	// At returns a channel that delivers once t has come, and a function that releases the timer.
+	// At returns a channel that delivers at t, and a function that releases the timer.
 	At(t time.Time) (<-chan time.Time, func())
 }
 
-// SystemClock is the machine's clock.
+// SystemClock is the clock of the machine.
 type SystemClock struct{}
 
-// Now is time.Now.
+// Now returns time.Now.
 func (SystemClock) Now() time.Time { return time.Now() }
 
 // At starts a time.Timer.
@@ -28,30 +28,31 @@
 	return timer.C, func() { timer.Stop() }
 }
 
-// Adapter is the state of a backend, or of another neighbour of the core, that lives on the loop. Its methods are
-// called by the loop only, and must not block.
+// Adapter is the part of a backend, or of another component beside the core, that runs on the loop. Its methods are
+// called on the loop only, and must not block.
 type Adapter interface {
-	// Handle takes a message and reports whether it was one of the adapter's own; it returns events for the core.
+	// Handle handles a message, if it is one of the adapter's, and reports whether it is; it returns events for the
+	// core.
 	Handle(now time.Time, message Message) (events []Event, handled bool)
-	// Sweep does what is due and returns when it is to be called again at the latest; zero if nothing is due.
+	// Sweep does what is due and returns the latest time of the next call; zero if nothing is due.
 	Sweep(now time.Time) (events []Event, next time.Time)
 }
 
 // RunOnLoop is a function that the loop runs between turns.
 type RunOnLoop func()
 
-// Loop gathers the messages that are ready, hands them to the core in one turn, and waits for more. All its fields are
-// set before Run, which owns the Core and the Adapter from then on.
+// Loop collects the pending messages, passes them to the core in one turn, and waits for more. All its fields are set
+// before Run, which owns the Core and the Adapter from then on.
 type Loop struct {
 	Core        *Core
 	Mailbox     *Mailbox
 	Adapter     Adapter
 	Clock       Clock
-	NewBalancer func() (*balance.Balancer, error) // makes the one to go on with after a panic in a turn
-	Stop        <-chan struct{}                   // closed to end Run
+	NewBalancer func() (*balance.Balancer, error) // creates the replacement after a panic in a turn
+	Stop        <-chan struct{}                   // closed to stop Run
 }
 
-// Run runs turns until Stop is closed. Messages that are in the mailbox by then are not handled.
+// Run runs turns until Stop is closed. Messages that are still in the mailbox then are not handled.
 func (l *Loop) Run() {
 	for {
 		next := l.RunTurn()
@@ -61,7 +62,7 @@
 	}
 }
 
-// wait waits for messages or until a time, if that is not zero; it returns false if the loop is stopped.
+// wait waits for messages or until next, if that is not zero; it returns false if the loop is stopped.
 func (l *Loop) wait(next time.Time) (running bool) {
 	var due <-chan time.Time
 	if !next.IsZero() {
@@ -78,7 +79,7 @@
 	return true
 }
 
-// RunTurn runs one turn of all that is ready and returns when the next is due; zero if nothing is.
+// RunTurn runs one turn with all pending messages and returns when the next turn is due; zero if nothing is.
 func (l *Loop) RunTurn() time.Time {
 	now := l.Clock.Now()
 	events, adapterDue := l.Adapter.Sweep(now)
@@ -89,7 +90,7 @@
 	return earliest(next, adapterDue)
 }
 
-// dispatch hands a message to whom it is for, and appends the events that it brings for the core.
+// dispatch passes a message to its handler, and appends the resulting events for the core.
 func (l *Loop) dispatch(now time.Time, message Message, events []Event) []Event {
 	if run, ok := message.(RunOnLoop); ok {
 		run()
@@ -101,12 +102,13 @@
 	if event, ok := message.(Event); ok {
 		return append(events, event)
 	}
-	l.Core.Counters.Panics++ // a mistake in the program: the message is dropped
+	l.Core.Counters.Panics++ // a programming error: the message is dropped
 	fmt.Fprintf(os.Stderr, "message %T: no adapter handles it\n", message)
 	return events
 }
 
-// handle recovers from a panic of the adapter: the message is dropped, and what depends on it ends by its deadline.
+// handle passes a message to the adapter and recovers from a panic there: the message is dropped, and queries that
+// depend on it are completed by their deadline.
 func (l *Loop) handle(now time.Time, message Message) (events []Event, handled bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -119,8 +121,8 @@
 	return l.Adapter.Handle(now, message)
 }
 
-// turn recovers from a panic of the core or the balancer: open queries get their final answer, and a new balancer
-// goes on.
+// turn runs a turn of the core and recovers from a panic of the core or the balancer: open queries receive their final
+// answer, and a new balancer replaces the old one.
 func (l *Loop) turn(now time.Time, events []Event) (next time.Time) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -132,13 +134,13 @@
 	return l.Core.Turn(now, events)
 }
 
-// restartCore lets the core go on with a new balancer after a turn with these events has panicked.
+// restartCore restarts the core with a new balancer after a turn with these events has panicked.
 func (l *Loop) restartCore(now time.Time, events []Event) {
-	fresh, err := l.NewBalancer()
+	newBalancer, err := l.NewBalancer()
 	if err != nil {
-		panic(fmt.Errorf("new balancer after a panic: %w", err)) // the same settings made one at the start
+		panic(fmt.Errorf("create a new balancer after a panic: %w", err)) // the same settings created one at startup
 	}
-	l.Core.Restart(now, fresh, events)
+	l.Core.Restart(now, newBalancer, events)
 }
 
 // Do runs f on the loop and waits until it has run. It must not be called on the loop, nor after Stop is closed.
--- a/internal/aggregator/loop_test.go
+++ b/internal/aggregator/loop_test.go
@@ -7,7 +7,7 @@
 	"rooktrestle/balance"
 )
 
-// funcAdapter is an adapter that calls its messages.
+// funcAdapter is an adapter whose messages are functions, which it calls.
 type funcAdapter struct{}
 
 type funcMessage func()
@@ -34,7 +34,7 @@
 func (s fixedClock) Now() time.Time                          { return s.harness.now }
 func (s fixedClock) At(time.Time) (<-chan time.Time, func()) { return nil, func() {} }
 
-// A panic ends at its message, its answer or its turn, and every query still gets one final answer.
+// A panic affects only its message, its answer or its turn, and every query still receives one final answer.
 func TestLoop_RecoversFromPanics(t *testing.T) {
 	h := newHarness(t)
 	mailbox := NewMailbox()
@@ -45,7 +45,7 @@
 		Clock:       fixedClock{h},
 		NewBalancer: func() (*balance.Balancer, error) { return balance.New(balancerSettings()) },
 	}
-	mailbox.Put(funcMessage(func() { panic("an event") }))
+	mailbox.Put(funcMessage(func() { panic("in an adapter message") }))
 	mailbox.Put(RequestArrived{Request: h.newRequest("panics", 99)})
 	l.RunTurn()
 	if h.answer("panics").Status != StatusRejected || h.core.Counters.Panics != 2 {
@@ -84,6 +84,6 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("Run goes on after Stop was closed")
+		t.Error("Run did not return after Stop was closed")
 	}
 }
--- a/internal/aggregator/mailbox.go
+++ b/internal/aggregator/mailbox.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Poster takes messages for the loop; Mailbox is one. Put may be called from any goroutine and does not block.
+// Poster accepts messages for the loop; Mailbox implements it. Put may be called from any goroutine and does not block.
 type Poster interface{ Put(message Message) }
 
-// Mailbox holds messages until the loop takes them. Any goroutine may put messages in; only the loop takes them out.
+// Mailbox is an unbounded queue of messages for the loop. Any goroutine may add messages; only the loop removes them.
 // Put never blocks.
 type Mailbox struct {
 	mu       sync.Mutex
 	messages []Message
-	deferred int // messages that have woken nobody yet
+	deferred int // messages that PutDeferred has added since the last Take
 	ready    chan struct{}
 }
 
@@ -25,7 +25,7 @@
 	m.signal()
 }
 
-// signal makes Ready deliver, once for any number of signals before that.
+// signal makes Ready deliver. Signals that are sent before it delivers are merged into one.
 func (m *Mailbox) signal() {
 	select {
 	case m.ready <- struct{}{}:
@@ -33,10 +33,10 @@
 	}
 }
 
-// maxDeferred is how many deferred messages gather before they wake the loop by themselves.
+// maxDeferred is the number of deferred messages that wake the loop.
 const maxDeferred = 32
 
-// PutDeferred adds a message that may wait for the next turn, whatever brings that on. It saves processor time:
+// PutDeferred adds a message that may wait until another event causes the next turn. It saves processor time:
 // with many aggregators a gossip datagram arrives every other millisecond.
 func (m *Mailbox) PutDeferred(message Message) {
 	m.mu.Lock()
@@ -59,5 +59,5 @@
 	return messages
 }
 
-// Ready returns a channel that delivers when there may be messages to take.
+// Ready returns a channel that delivers when the mailbox may contain messages.
 func (m *Mailbox) Ready() <-chan struct{} { return m.ready }
--- a/internal/aggregator/mailbox_test.go
+++ b/internal/aggregator/mailbox_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Gossip of many peers must not cost a turn each, nor wait for ever.
+// Gossip messages from many peers must not cause a turn each, but must be handled eventually.
 func TestMailbox_DeferredMessagesWakeTheLoopTogether(t *testing.T) {
 	ready := func(m *Mailbox) bool {
 		select {
@@ -17,11 +17,11 @@
 		m.PutDeferred(GossipReceived{})
 	}
 	if ready(m) {
-		t.Error("the loop is woken before enough messages are deferred")
+		t.Error("the loop was woken by fewer than maxDeferred messages")
 	}
 	m.PutDeferred(GossipReceived{})
 	if !ready(m) || len(m.Take()) != maxDeferred {
-		t.Error("deferred messages were not handed over in the end")
+		t.Error("maxDeferred deferred messages were not delivered")
 	}
 	m.PutDeferred(GossipReceived{})
 	if ready(m) {
@@ -29,6 +29,6 @@
 	}
 	m.Put(RequestArrived{})
 	if !ready(m) || len(m.Take()) != 2 {
-		t.Error("a message does not take the deferred ones along")
+		t.Error("a deferred message was not delivered with the next message")
 	}
 }
--- a/internal/aggregator/maintenance.go
+++ b/internal/aggregator/maintenance.go
@@ -6,17 +6,18 @@
 	"rooktrestle/balance"
 )
 
-// maxRemovedServers bounds how many servers that are listed no longer are remembered by their ids.
+// maxRemovedServers limits the number of removed servers whose ids are retained.
 const maxRemovedServers = 4096
 
-// maintenance is what operators said of servers. It is apart from the endpoint list, which neither changes it nor is
-// changed by it: a server takes new work only where both allow it.
+// maintenance stores which servers operators have detached and attached. It and the endpoint list do not change each
+// other: a server accepts new work only if both allow it.
 type maintenance struct {
-	detached map[balance.Replica]bool // taken out of service
-	// attached is when servers were put back. They were restarted meanwhile, as a rule, and the list may say so late.
+	detached map[balance.Replica]bool // taken out of service by an operator
+	// attached is when servers were attached again. They were usually restarted while detached, which the endpoint list
+	// may report with a delay.
 	attached map[balance.Replica]time.Time
-	removed  []balance.Replica        // ids that were taken off the list, oldest first
-	known    map[balance.Replica]bool // ids that are listed (true), or were once (false)
+	removed  []balance.Replica        // ids that were removed from the list, oldest first
+	known    map[balance.Replica]bool // ids that are listed (true), or were previously (false)
 }
 
 func newMaintenance() maintenance {
@@ -27,14 +28,14 @@
 	}
 }
 
-// KnowsServer reports whether a server is listed, or was once.
+// KnowsServer reports whether a server is listed, or was listed before and its id is retained.
 func (c *Core) KnowsServer(id balance.Replica) bool {
 	_, known := c.maintenance.known[id]
 	return known
 }
 
-// ClusterSize is the number of listed servers, and the number of those that get nothing new, or next to nothing: they
-// drain, an operator has taken them out, or the balancer avoids them.
+// ClusterSize returns the number of listed servers, and the number of those that receive little or no new work: they
+// are draining, detached by an operator, or avoided by the balancer.
 func (c *Core) ClusterSize() (listed, avoided int) {
 	for id := range c.servers {
 		if !c.Available(id) || c.balancer.Avoids(id) {
@@ -44,15 +45,15 @@
 	return len(c.servers), avoided
 }
 
-// maintenanceChanged takes an operator's word on a server. The balancer gets the server as draining while it is out of
-// service, in the same turn.
+// maintenanceChanged detaches or attaches a server on behalf of an operator. In the same turn the balancer is notified
+// of the server, which is draining while detached.
 func (c *Core) maintenanceChanged(changed MaintenanceChanged) {
 	m := &c.maintenance
 	if m.detached[changed.Server] == changed.Detached {
 		return
 	}
 	c.traceMaintenance(changed)
-	if !c.KnowsServer(changed.Server) { // of an earlier process: it was listed then
+	if !c.KnowsServer(changed.Server) { // from a previous process, which had it listed
 		m.known[changed.Server] = false
 	}
 	if changed.Detached {
@@ -69,11 +70,11 @@
 	}
 }
 
-// listed notes that a server is listed.
-func (m *maintenance) listed(id balance.Replica) { m.known[id] = true }
+// markListed records that a server is listed.
+func (m *maintenance) markListed(id balance.Replica) { m.known[id] = true }
 
-// unlisted remembers a server that is listed no longer, in place of the oldest such where there are too many.
-func (m *maintenance) unlisted(id balance.Replica) {
+// markRemoved records that a server is no longer listed. Beyond maxRemovedServers the oldest such record is deleted.
+func (m *maintenance) markRemoved(id balance.Replica) {
 	delete(m.attached, id)
 	m.known[id] = false
 	m.removed = append(m.removed, id)
@@ -83,7 +84,7 @@
 	}
 }
 
-// forget forgets the id of a server that is not listed and that no operator has taken out.
+// forget deletes the id of a server, unless it is listed or detached.
 func (m *maintenance) forget(id balance.Replica) {
 	if !m.known[id] && !m.detached[id] {
 		delete(m.known, id)
--- a/internal/aggregator/maintenance_test.go
+++ b/internal/aggregator/maintenance_test.go
@@ -8,37 +8,37 @@
 	"rooktrestle/balance"
 )
 
-func (h *harness) maintain(server balance.Replica, detached bool) {
+func (h *harness) setDetached(server balance.Replica, detached bool) {
 	h.turn(MaintenanceChanged{Server: server, Detached: detached})
 }
 
-// sentTo sends queries of one part and returns how many attempts went to a server.
+// sentTo submits queries of one part and returns how many attempts were sent to a server.
 func (h *harness) sentTo(server balance.Replica, name string) (count int) {
 	h.t.Helper()
 	for i := range 20 {
-		h.calls, h.servers = nil, nil
+		h.attempts, h.servers = nil, nil
 		h.request(fmt.Sprint(name, i), 0, 1)
-		for n, call := range h.calls {
+		for n, attempt := range h.attempts {
 			if h.servers[n].ID == server {
 				count++
 			}
-			h.turn(AttemptEnded{Attempt: call.Attempt, Value: "value"})
+			h.turn(AttemptEnded{Attempt: attempt.Attempt, Value: "value"})
 		}
 		h.advance(100 * time.Millisecond)
 	}
 	return count
 }
 
-// Whatever discovery lists of a server, it gets nothing from the operator's call on until the call that puts it back.
+// A detached server receives nothing until an operator attaches it again, whatever discovery lists about it.
 func TestCore_DetachedServerGetsNothing(t *testing.T) {
 	for name, listed := range map[string][]Event{
-		"nothing new":  nil,
+		"no change":    nil,
 		"listed again": {twoServers},
-		"restarted":    {changeOf(Server{ID: "a", Addr: "a:1", Started: startTime.Add(time.Second)})},
-		"moved":        {changeOf(Server{ID: "a", Addr: "a:2"})},
-		"gone, and back": {
-			changeOf(Server{ID: "a", State: balance.Removed}),
-			changeOf(Server{ID: "a", Addr: "a:1"}),
+		"restarted":    {endpointChange(Server{ID: "a", Addr: "a:1", Started: startTime.Add(time.Second)})},
+		"moved":        {endpointChange(Server{ID: "a", Addr: "a:2"})},
+		"removed, and listed again": {
+			endpointChange(Server{ID: "a", State: balance.Removed}),
+			endpointChange(Server{ID: "a", Addr: "a:1"}),
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 			if h.sentTo("a", "before") == 0 {
 				t.Fatal("the server is not in use")
 			}
-			h.maintain("a", true)
+			h.setDetached("a", true)
 			for _, event := range listed {
 				h.turn(event)
 			}
@@ -56,7 +56,7 @@
 			if size, avoided := h.core.ClusterSize(); size != 2 || avoided != 1 {
 				t.Errorf("%d servers, %d avoided", size, avoided)
 			}
-			h.maintain("a", false)
+			h.setDetached("a", false)
 			if h.sentTo("a", "back") == 0 {
 				t.Error("the server is not used again")
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-// The call and the send meet in one turn: the call counts.
+// A server that is detached in the turn of a request receives nothing in that turn.
 func TestCore_ServerIsDetachedInTheTurnOfTheSend(t *testing.T) {
 	h := newHarness(t)
 	request := h.newRequest("q", 0)
@@ -77,67 +77,67 @@
 	}
 }
 
-// With all holders of a shard out of service a query is rejected or fails in time; none of them gets it.
+// If all replicas of a shard are detached, a query is rejected or fails by its deadline, and none of them receives it.
 func TestCore_AllServersDetached(t *testing.T) {
 	h := newHarness(t)
-	h.maintain("a", true)
-	h.maintain("b", true)
+	h.setDetached("a", true)
+	h.setDetached("b", true)
 	h.request("q", 0, 1)
 	h.advance(timeout)
-	if len(h.calls) > 0 || len(h.answers["q"]) != 1 {
-		t.Errorf("%d calls, answers %v", len(h.calls), h.answers["q"])
+	if len(h.attempts) > 0 || len(h.answers["q"]) != 1 {
+		t.Errorf("%d attempts sent, answers %v", len(h.attempts), h.answers["q"])
 	}
 }
 
-// A server that is put back warms up, also where the list does not say yet that it was restarted.
+// A server that is attached again warms up, even if the endpoint list does not state its restart yet.
 func TestCore_AttachedServerWarmsUp(t *testing.T) {
 	h := newHarness(t)
 	h.now = h.now.Add(time.Minute)
-	h.maintain("a", true)
-	h.maintain("a", false)
+	h.setDetached("a", true)
+	h.setDetached("a", false)
 	server := h.core.Server("a")
 	if got, want := h.core.startedAt(server), h.core.clock(h.now); got != want {
-		t.Errorf("it counts as started at %v, want %v", got, want)
+		t.Errorf("counts as started at %v, want %v", got, want)
 	}
 	later := h.now.Add(time.Second)
 	server.Started = later
 	h.now = later
-	h.turn(changeOf(server))
+	h.turn(endpointChange(server))
 	if got, want := h.core.startedAt(server), h.core.clock(later); got != want {
-		t.Errorf("it counts as started at %v though it is listed with %v", got, want)
+		t.Errorf("counts as started at %v, though listed as started at %v", got, want)
 	}
 }
 
-// A panic of the decisions forgets no operator's call.
+// Servers stay detached after a panic in a turn.
 func TestCore_RestartKeepsDetachedServers(t *testing.T) {
 	h := newHarness(t)
-	h.maintain("a", true)
-	fresh, err := balance.New(balancerSettings())
+	h.setDetached("a", true)
+	newBalancer, err := balance.New(balancerSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.core.Restart(h.now, fresh, []Event{MaintenanceChanged{Server: "b", Detached: true}})
+	h.core.Restart(h.now, newBalancer, []Event{MaintenanceChanged{Server: "b", Detached: true}})
 	if h.core.Available("a") || h.core.Available("b") || h.sentTo("a", "q")+h.sentTo("b", "r") > 0 {
 		t.Error("a server that is out of service is in use")
 	}
 }
 
-// Ids are known from their first listing on, for as long as there are not too many that are gone.
+// Ids are known from their first listing on, until more than maxRemovedServers servers have been removed since.
 func TestCore_KnowsServer(t *testing.T) {
 	h := newHarness(t)
 	if h.core.KnowsServer("c") || !h.core.KnowsServer("a") {
-		t.Error("known: c, or not known: a")
+		t.Error("c is known, or a is not")
 	}
-	h.maintain("a", true)
-	h.turn(changeOf(Server{ID: "a", State: balance.Removed}))
+	h.setDetached("a", true)
+	h.turn(endpointChange(Server{ID: "a", State: balance.Removed}))
 	for i := range maxRemovedServers + 1 {
 		id := balance.Replica(fmt.Sprint("gone", i))
-		h.turn(changeOf(Server{ID: id, Addr: "x:1"}), changeOf(Server{ID: id, State: balance.Removed}))
+		h.turn(endpointChange(Server{ID: id, Addr: "x:1"}), endpointChange(Server{ID: id, State: balance.Removed}))
 	}
 	if !h.core.KnowsServer("a") || h.core.KnowsServer("gone0") || !h.core.KnowsServer("gone1") {
 		t.Errorf("a %v, gone0 %v, gone1 %v", h.core.KnowsServer("a"), h.core.KnowsServer("gone0"), h.core.KnowsServer("gone1"))
 	}
 	if known := len(h.core.maintenance.known); known > maxRemovedServers+3 {
-		t.Errorf("%d ids are remembered", known)
+		t.Errorf("%d ids are retained", known)
 	}
 }
--- a/internal/aggregator/messages.go
+++ b/internal/aggregator/messages.go
@@ -7,8 +7,8 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// Message is what a Mailbox holds: an Event of the core, a RunOnLoop, or a message of an adapter's own. The
-// interface is sealed; adapters embed AdapterMessage in theirs.
+// Message is an entry of a Mailbox: an Event for the core, a RunOnLoop, or a message of an adapter. The interface is
+// sealed; messages of adapters embed AdapterMessage.
 type Message interface{ message() }
 
 // Event is a Message that the core handles: a request, the end of an attempt or a probe, a change of endpoints or shard
@@ -18,7 +18,7 @@
 	event()
 }
 
-// AdapterMessage makes a struct that embeds it a Message. The adapter that posted it handles it in Adapter.Handle.
+// AdapterMessage makes a struct that embeds it a Message. Adapter.Handle of the adapter that posted it handles it.
 type AdapterMessage struct{}
 
 func (AdapterMessage) message() {}
@@ -27,39 +27,40 @@
 type (
 	// RequestArrived is a new request.
 	RequestArrived struct{ Request *Request }
-	// ClientDisconnected says that the client of a request has disconnected. It gets no answer any more.
+	// ClientDisconnected reports that the client of a request has disconnected. It receives no answer.
 	ClientDisconnected struct{ Request *Request }
-	// AttemptEnded ends an attempt. A second one of the same attempt is ignored.
+	// AttemptEnded reports the end of an attempt. A second one for the same attempt is ignored.
 	AttemptEnded struct {
 		Attempt AttemptID
-		Err     error               // nil: the part has its answer; other errors than *AttemptError: it may have run
-		Score   float64             // by which the second step chooses its shards
-		Value   string              // of the answer
-		Report  *balance.LoadReport // of the server; nil: none
+		Err     error               // nil: the part is answered; errors other than *AttemptError: it may have run
+		Score   float64             // ranks the shards for the second step
+		Value   string              // the server's answer
+		Report  *balance.LoadReport // the server's; nil: none
 	}
-	// ProbeEnded ends a probe.
+	// ProbeEnded reports the end of a probe.
 	ProbeEnded struct {
 		Server  balance.Replica
 		Err     error // as in AttemptEnded
 		Elapsed time.Duration
 		Report  *balance.LoadReport // nil: none
 	}
-	// LateAnswer says that a server answered an attempt after it was given up: it is alive, and overdue.
+	// LateAnswer reports that a server answered an attempt after it was canceled: the server is responsive, and its
+	// answer is overdue.
 	LateAnswer struct{ Server balance.Replica }
-	// ShardMapOffered is what a source of shard maps responded. Map is nil where it has nothing newer.
+	// ShardMapOffered is the response of a shard map source. Map is nil if the source has nothing newer.
 	ShardMapOffered struct {
 		Source string
 		Map    *shardmap.Map
-		Err    error // why it has none
+		Err    error // why the source provided no map
 	}
-	// MaintenanceChanged says that an operator has taken a server out of service, or put it back.
+	// MaintenanceChanged reports that an operator has detached a server, or attached it again.
 	MaintenanceChanged struct {
 		Server   balance.Replica
 		Detached bool
 	}
-	// GossipReceived is a datagram from another aggregator, not validated.
+	// GossipReceived is a datagram from another aggregator. It is not validated.
 	GossipReceived struct{ Payload []byte }
-	// EndpointsChanged is a list of servers, or changes of one, from discovery.
+	// EndpointsChanged is an endpoint list, or changes to one, from discovery.
 	EndpointsChanged struct {
 		Kind    balance.ListKind
 		Servers []Server
--- a/internal/aggregator/ports.go
+++ b/internal/aggregator/ports.go
@@ -8,18 +8,18 @@
 	"rooktrestle/internal/control/outlier"
 )
 
-// Frontend is where a request came from. Answer is called on the loop, once for each request whose client has not
-// disconnected. It must not block.
+// Frontend delivers the final answer of a request to its client. Answer is called on the loop, once for each request
+// whose client has not disconnected. It must not block.
 type Frontend interface{ Answer(final FinalAnswer) }
 
-// Backend carries attempts to servers. Each attempt sent ends in one AttemptEnded and each probe in one ProbeEnded
-// event, whatever happens. Its methods are called on the loop and must not block.
+// Backend carries attempts to servers. Each attempt sent results in one AttemptEnded event and each probe in one
+// ProbeEnded event, whatever happens. Its methods are called on the loop and must not block.
 type Backend interface {
-	// Send makes one call of these attempts. The backend owns the slice from then on.
-	Send(now time.Time, to Server, calls []OutgoingAttempt)
-	// Cancel gives an attempt up. Its AttemptEnded event comes only when the server has been notified, or the
-	// connection is closed, so that the part's next attempt cannot run beside it. mayRetry says that there may be a
-	// next one.
+	// Send sends attempts in one call. The backend owns the slice from then on.
+	Send(now time.Time, to Server, attempts []OutgoingAttempt)
+	// Cancel cancels an attempt. Its AttemptEnded event follows only when the server has been notified, or the
+	// connection is closed, so that the part's next attempt cannot run concurrently with it. mayRetry reports whether
+	// there may be a next attempt.
 	Cancel(now time.Time, attempt AttemptID, mayRetry bool)
 	// Probe requests a load report from a server.
 	Probe(now time.Time, to Server)
@@ -31,13 +31,13 @@
 	Broadcast(payload []byte)
 }
 
-// Directory says what is known of a server; Core is one. Like Core it is for the loop only.
+// Directory reports which servers are available; Core implements it. Like Core it is used on the loop only.
 type Directory interface {
-	// Available says whether new work may be sent to a server.
+	// Available reports whether new work may be sent to a server.
 	Available(server balance.Replica) bool
 }
 
-// AttemptObserver learns how each attempt ended, on the loop, in the order of the ends.
+// AttemptObserver is notified of the end of each attempt, on the loop, in the order in which they end.
 type AttemptObserver interface {
 	AttemptEnded(now time.Time, summary AttemptSummary)
 }
@@ -49,10 +49,11 @@
 	Result         balance.AttemptResult
 	Sent           time.Time
 	LocalCause     bool // it failed because this aggregator lacked a resource
-	FalseRejection bool // the server rejected it with a claim that the shard map contradicts
+	FalseRejection bool // the server rejected it for a reason that the shard map contradicts
 }
 
-// HealthResult is what the attempt's end says of its server's health. objective is the latency objective of its class.
+// HealthResult returns what the attempt's result indicates about the server's health. objective is the latency
+// objective of its class.
 func (s AttemptSummary) HealthResult(now time.Time, objective time.Duration) health.Outcome {
 	switch s.Result {
 	case balance.OK:
@@ -64,7 +65,7 @@
 			return health.ConnectFailure
 		}
 	case balance.Canceled:
-		// Canceled after the objective: the server was unresponsive. Before: the client left or another part failed.
+		// After the objective the server was unresponsive. Before it the client disconnected, or another part failed.
 		if now.Sub(s.Sent) >= objective {
 			return health.Failure
 		}
@@ -75,9 +76,9 @@
 	return health.Neutral
 }
 
-// outlierEnd is what the attempt's end says of its server to the table of outliers, which judges by itself what was
-// canceled or rejected.
-func (s AttemptSummary) outlierEnd() outlier.Outcome {
+// outlierOutcome returns the attempt's outcome as the outlier table records it. The table itself decides which canceled
+// and rejected attempts count as failures.
+func (s AttemptSummary) outlierOutcome() outlier.Outcome {
 	switch s.Result {
 	case balance.Canceled:
 		return outlier.Canceled
--- a/internal/aggregator/query.go
+++ b/internal/aggregator/query.go
@@ -11,34 +11,34 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// query is an open request: it is held until its one final answer, or until its client has disconnected.
+// query is an open request. It is removed with its one final answer, or when its client has disconnected.
 type query struct {
 	id       balance.ID
 	request  *Request
 	deadline time.Time
-	parts    []*part // of the present step
-	inFlight int     // attempts, of all its steps
+	parts    []*part // of the current step
+	inFlight int     // attempts of all its steps
 	index    int     // in Core.deadlines
 
 	followUp           bool    // it is in its second step
 	firstStep          []*part // answered parts of the first step, once the second has begun
 	firstStepCompleted bool
 
-	// Where shard maps change.
-	view       *shardmap.View           // that it is pinned to; nil where the servers of a shard are fixed
-	placement  *shardmap.QueryPlacement // its parts as the resharding rules see them
-	restarts   int
-	restarting bool // it is restarted once none of its attempts is in flight
-	waiting    bool // for a newer map
+	// Used only where shard maps change.
+	view        *shardmap.View           // that it is pinned to; nil where the servers of a shard are fixed
+	placement   *shardmap.QueryPlacement // its parts, for the resharding rules
+	restarts    int
+	restarting  bool // it restarts once none of its attempts is in flight
+	awaitingMap bool // it waits for a newer map
 }
 
-// Deadline is when the client stops waiting; queries of one deadline come in the order of their ids.
+// Deadline returns when the client stops waiting; queries with the same deadline are ordered by id.
 func (q *query) Deadline() (time.Time, uint64) { return q.deadline, uint64(q.id) }
 
-// QueueIndex is where the deadline queue keeps the query's index.
+// QueueIndex returns where the deadline queue stores the query's position.
 func (q *query) QueueIndex() *int { return &q.index }
 
-// part is what one shard contributes to a step of a query.
+// part is the share of one shard in a step of a query.
 type part struct {
 	id             balance.ID
 	query          *query
@@ -47,26 +47,26 @@
 	attempts       int    // sent so far
 	placementIndex int    // in the query's placement
 
-	over     atomic.Bool // it is answered, or of no open step any more: no attempt of it begins
+	closed   atomic.Bool // it is answered, or its step is completed: no attempt of it may start
 	answered bool
 	score    float64
 	value    string
 
-	// mayHaveRun are the send times of its attempts that are in flight or may have run.
-	mayHaveRun []time.Time
+	// possibleRuns contains the send times of its attempts that are in flight or may have run.
+	possibleRuns []time.Time
 }
 
-// requestArrived opens a query for a request, or rejects it at once.
+// requestArrived opens a query for a request, or rejects it immediately.
 func (c *Core) requestArrived(request *Request) {
 	c.Counters.Received++
-	if request.disconnected(c.now) { // its disconnect is still to come, and finds nothing
-		request.done = true
+	if request.disconnected(c.now) { // its ClientDisconnected event will find no query
+		request.completed = true
 		c.Counters.countFinal(FinalAnswer{Status: StatusDisconnected})
 		c.traceQuery(request, StatusDisconnected, reasonDisconnected)
 		return
 	}
 	deadline := request.Arrived.Add(request.Timeout)
-	if reason := c.reasonToReject(request, deadline); reason != "" {
+	if reason := c.rejectReason(request, deadline); reason != "" {
 		c.Counters.Rejected++
 		c.Counters.RejectedAtCapacity++
 		c.traceQuery(request, StatusRejected, reason)
@@ -80,7 +80,7 @@
 	}
 	if request.Layout != nil {
 		specs = c.pinView(q)
-		if len(specs) == 0 { // there is no map yet
+		if len(specs) == 0 { // there is no shard map yet
 			c.close(q, c.rejection())
 			return
 		}
@@ -88,28 +88,28 @@
 	c.submit(q, specs)
 }
 
-// reasonToReject is why a request is rejected on arrival; empty: it is not.
-func (c *Core) reasonToReject(request *Request, deadline time.Time) string {
+// rejectReason returns why a request is rejected on arrival; empty if it is not.
+func (c *Core) rejectReason(request *Request, deadline time.Time) string {
 	switch {
 	case c.atCapacity():
 		return reasonCapacity
 	case c.requestIDs[request.ID] > 0:
 		return reasonIDInUse
 	case !c.now.Before(deadline):
-		return reasonOverdue
+		return reasonExpiredOnArrival
 	}
 	return ""
 }
 
-// atCapacity says that no more queries may be held. It guards the process's memory.
+// atCapacity reports whether no more queries may be opened. This bounds the memory of the process.
 func (c *Core) atCapacity() bool { return c.limits.MaxOpen > 0 && c.Load() >= c.limits.MaxOpen }
 
-// rejection is the answer to a request that the core rejects by itself.
+// rejection returns the answer to a request that the core itself rejects.
 func (c *Core) rejection() FinalAnswer {
 	return FinalAnswer{Status: StatusRejected, RetryAfter: c.limits.RetryAfter}
 }
 
-// open starts to hold a query for a request, and uses its request id.
+// open registers a query for a request, and marks its request id as in use.
 func (c *Core) open(request *Request, deadline time.Time) *query {
 	q := &query{id: c.nextID(), request: request, deadline: deadline}
 	c.queries[q.id] = q
@@ -124,7 +124,7 @@
 	return c.lastID
 }
 
-// submit hands a query and its parts to the balancer.
+// submit passes a query and its parts to the balancer.
 func (c *Core) submit(query *query, specs []PartSpec) {
 	c.notify(balance.Query{
 		ID:       query.id,
@@ -139,7 +139,7 @@
 	c.submitParts(query, specs, "")
 }
 
-// submitParts makes the parts of a query's step and hands them to the balancer. The suffix ends their names.
+// submitParts creates the parts of a query's current step and passes them to the balancer. Their names end with suffix.
 func (c *Core) submitParts(query *query, specs []PartSpec, suffix string) {
 	query.parts = nil
 	if query.placement != nil {
@@ -166,19 +166,19 @@
 	}
 }
 
-// dropParts forgets the parts of the present step: ends of their attempts count no longer.
+// dropParts removes the parts of the current step: their attempts no longer contribute to the answer.
 func (c *Core) dropParts(q *query) {
 	for _, p := range q.parts {
 		delete(c.parts, p.id)
-		p.over.Store(true)
+		p.closed.Store(true)
 	}
 }
 
-// isOpen says that a part belongs to the present step of an open query.
+// isOpen reports whether a part belongs to the current step of an open query.
 func (c *Core) isOpen(p *part) bool { return c.parts[p.id] == p }
 
-// releaseRequestID gives up one use of a query's request id. While one is left no other query may have the id: its
-// parts would have the names of parts that are in flight, and servers would take them for repetitions.
+// releaseRequestID releases one use of a query's request id. While any use remains, no other query may have the id: its
+// parts would have the names of parts that are in flight, and servers would treat them as duplicates.
 func (c *Core) releaseRequestID(q *query) {
 	id := q.request.ID
 	c.requestIDs[id]--
@@ -187,7 +187,7 @@
 	}
 }
 
-// clientDisconnected ends the query of a request, if it is open still. Nobody is left to answer.
+// clientDisconnected closes the query of a request, if it is still open. No answer is delivered.
 func (c *Core) clientDisconnected(request *Request) {
 	if q := c.byRequest[request]; q != nil {
 		c.notify(balance.ClientDisconnected{Query: q.id})
@@ -195,7 +195,7 @@
 	}
 }
 
-// openQueries are the open queries in the order of their ids: nothing may depend on the order of a map.
+// openQueries returns the open queries ordered by id: behavior must not depend on the iteration order of a map.
 func (c *Core) openQueries() (open []*query) {
 	for _, q := range c.queries {
 		open = append(open, q)
--- a/internal/aggregator/resharding.go
+++ b/internal/aggregator/resharding.go
@@ -8,21 +8,21 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// Resharding is what a core needs where the shard map changes. All fields are set; the functions are called on the loop
-// and must not block.
+// Resharding contains what a core needs where the shard map changes. All fields are set; the functions are called on
+// the loop and must not block.
 type Resharding struct {
 	Views *shardmap.Views
 	// RequestMap requests a newer map from the map source.
 	RequestMap func()
-	// RequestMapSoon does so after a short while: the source may be behind.
+	// RequestMapSoon does so after a short delay, for a source that may be behind.
 	RequestMapSoon func()
-	// Adopted is called with each map that is adopted, and the one before it (nil at first).
+	// Adopted is called with each map that is adopted, and the previous one (nil at first).
 	Adopted func(previous, adopted *shardmap.Map)
-	// Rejected is called with each offer that is not adopted because of an error.
+	// Rejected is called for each offer that is not adopted because of an error.
 	Rejected func(source string, err error)
 }
 
-// pinView pins a query to the present view and makes its parts; none if there is no view yet.
+// pinView pins a query to the current view and returns its parts; none if there is no view yet.
 func (c *Core) pinView(query *query) []PartSpec {
 	query.view = c.Resharding.Views.Pin()
 	if query.view == nil {
@@ -49,8 +49,8 @@
 	return class >= 0 && class < len(c.limits.NonIdempotent) && !c.limits.NonIdempotent[class]
 }
 
-// addToPlacement adds a part to its query's placement and returns the servers it may be sent to; nil where those
-// are fixed.
+// addToPlacement adds a part to its query's placement and returns the servers that it may be sent to; nil where the
+// servers of a shard are fixed.
 func (c *Core) addToPlacement(query *query, part *part) []balance.Candidate {
 	if query.placement == nil {
 		return nil
@@ -66,7 +66,7 @@
 	return candidates
 }
 
-// servingReplicas are the servers of a part's shard by the query's view.
+// servingReplicas returns the replicas that serve a part's shard by the query's view.
 func (q *query) servingReplicas(p *part) []shardmap.Replica {
 	shard := q.view.Map.Shard(shardmap.ID(p.spec.Shard))
 	if shard == nil {
@@ -82,14 +82,14 @@
 	}
 }
 
-// shardMapOffered takes a map, or the lack of a newer one, from a map source.
+// shardMapOffered handles the response of a map source: a map, an error, or neither if the source has nothing newer.
 func (c *Core) shardMapOffered(offered ShardMapOffered) {
 	resharding := c.Resharding
 	if resharding == nil {
 		return
 	}
 	switch {
-	case offered.Err != nil: // the source may have a newer map all the same
+	case offered.Err != nil: // the source may still have a newer map
 		resharding.Rejected(offered.Source, offered.Err)
 		return
 	case offered.Map == nil:
@@ -98,13 +98,13 @@
 		resharding.offer(c.now, offered)
 	}
 	for _, q := range c.openQueries() {
-		if q.waiting {
+		if q.awaitingMap {
 			c.reroute(q)
 		}
 	}
 }
 
-// offer adopts the map of an event, if it may follow the present one.
+// offer adopts an offered map, if it may follow the current one.
 func (r *Resharding) offer(now time.Time, offered ShardMapOffered) {
 	previous := r.Views.Current()
 	adopted, err := r.Views.Offer(now, offered.Map)
@@ -118,16 +118,16 @@
 	}
 }
 
-// noNewerMap notes that the source has nothing newer, and requests a map again if it may be behind.
+// noNewerMap records that the source has nothing newer, and requests a map again soon if the source may be behind.
 func (r *Resharding) noNewerMap(now time.Time) {
 	if r.Views.SourceUnchanged(now) {
 		r.RequestMapSoon()
 	}
 }
 
-// leaveExpiredViews reroutes the queries of views that are held for too long. A query whose part may be
-// running and must not run twice keeps its view until its answer or its deadline.
-func (c *Core) leaveExpiredViews() {
+// rerouteExpiredViews reroutes the queries that are pinned to expired views. A query with a part that may be running
+// and must not run twice keeps its view until its answer or its deadline.
+func (c *Core) rerouteExpiredViews() {
 	if c.Resharding == nil {
 		return
 	}
@@ -140,14 +140,14 @@
 	}
 }
 
-// mayLeaveView says that no part of the query that must not run twice may be running, and that it is not about to leave
-// its view already.
+// mayLeaveView reports whether the query is not restarting already, and none of its parts that must not run twice may
+// be running.
 func (q *query) mayLeaveView() bool {
 	return !q.restarting && (q.placement.Idempotent || q.inFlight == 0)
 }
 
-// rejectedByShardMap takes a server's rejection of an open part whose shard it does not hold. It reports whether the
-// shard map contradicts the server.
+// rejectedByShardMap handles the rejection of an open part by a server that does not serve its shard. It reports
+// whether the shard map contradicts the server.
 func (c *Core) rejectedByShardMap(attempt *attempt, failure *AttemptError) (falseRejection bool) {
 	part := attempt.part
 	query := part.query
@@ -173,7 +173,7 @@
 	return decision.FalseRejection
 }
 
-// remainingCandidates are the servers that a part may still be sent to.
+// remainingCandidates returns the servers that a part may still be sent to.
 func (c *Core) remainingCandidates(q *query, p *part) []balance.Candidate {
 	candidates := []balance.Candidate{}
 	for _, replica := range q.servingReplicas(p) {
@@ -184,12 +184,12 @@
 	return candidates
 }
 
-// reroute decides on a query that cannot go on with its view.
+// reroute restarts, suspends or closes a query that cannot continue on its view.
 func (c *Core) reroute(q *query) { c.applyDecision(q, q.placement.ViewUnusable(c.Resharding.Views)) }
 
-// applyDecision restarts a query, lets it wait for a newer map, or ends it.
+// applyDecision restarts a query, lets it wait for a newer map, or closes it.
 func (c *Core) applyDecision(query *query, decision shardmap.Decision) {
-	if !query.restarting && !query.waiting { // the balancer still has it
+	if !query.restarting && !query.awaitingMap { // it is still open at the balancer
 		c.notify(balance.ClientDisconnected{Query: query.id})
 		c.dropParts(query)
 	}
@@ -199,16 +199,16 @@
 	case decision.AwaitMap:
 		c.waitForMap(query)
 	default:
-		query.waiting = false
+		query.awaitingMap = false
 		c.closeUnroutable(query)
 	}
 }
 
 // prepareRestart cancels the attempts of a query and restarts it once none is in flight: a part's next attempt must not
-// run beside the one before it.
+// run concurrently with the previous one.
 func (c *Core) prepareRestart(query *query) {
 	query.restarting = true
-	query.waiting = false
+	query.awaitingMap = false
 	query.restarts++
 	c.Counters.Restarts++
 	c.Resharding.Views.Stats.Restarts++
@@ -220,16 +220,16 @@
 	}
 }
 
-// waitForMap lets a query wait until a newer map is offered, or its deadline comes.
+// waitForMap lets a query wait until a newer map is offered, or its deadline expires.
 func (c *Core) waitForMap(q *query) {
-	if !q.waiting {
+	if !q.awaitingMap {
 		c.Counters.MapWaits++
 		c.Resharding.Views.Stats.Waits++
 	}
-	q.waiting = true
+	q.awaitingMap = true
 }
 
-// closeUnroutable ends a query that no view is left for.
+// closeUnroutable closes a query that no view can be used for.
 func (c *Core) closeUnroutable(q *query) {
 	if q.placement.Idempotent || !q.placement.MayHaveRun() {
 		c.close(q, c.rejection())
@@ -238,7 +238,7 @@
 	}
 }
 
-// restartQuery submits a query to the balancer again, on the present view and under a new id.
+// restartQuery submits a query to the balancer again, on the current view and under a new id.
 func (c *Core) restartQuery(query *query) {
 	query.restarting = false
 	c.unpinView(query)
@@ -251,7 +251,7 @@
 	c.submit(query, specs)
 }
 
-// changeID gives a query a new id, by which the queue of deadlines orders it.
+// changeID assigns a new id to a query. The deadline queue orders by id, so the query is removed and pushed again.
 func (c *Core) changeID(q *query) {
 	delete(c.queries, q.id)
 	c.deadlines.Remove(q)
@@ -260,15 +260,15 @@
 	c.deadlines.Push(q)
 }
 
-// mayReroute says that a query which the balancer gave up may have been given up because of its outdated view.
+// mayReroute reports whether the balancer may have rejected or failed a query because of its outdated view.
 func (c *Core) mayReroute(q *query) bool {
 	if c.Resharding == nil || c.deadlineReached(q) {
 		return false
 	}
-	return !q.restarting && !q.waiting && q.inFlight == 0 && c.hasUnservablePart(q)
+	return !q.restarting && !q.awaitingMap && q.inFlight == 0 && c.hasUnservablePart(q)
 }
 
-// hasUnservablePart says that a part of a query's first step lacks an answer and has no server in service.
+// hasUnservablePart reports whether a part of a query's first step is unanswered and has no server in service.
 func (c *Core) hasUnservablePart(query *query) bool {
 	if query.placement == nil || query.followUp {
 		return false
--- a/internal/aggregator/resharding_fuzz_test.go
+++ b/internal/aggregator/resharding_fuzz_test.go
@@ -11,12 +11,12 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// correction is the class of the harness whose requests must not run twice.
+// correction is the class of the harness that is non-idempotent.
 const correction = 1
 
 // FuzzResharding takes random steps: maps that change, servers that answer, fail, reject, contradict the map or stay
-// unresponsive. Each request has one final answer; a correction that may have run is never sent again; a part has one
-// attempt in flight at a time; a complete answer covers its view; nothing is held at the end.
+// unresponsive. Each request receives one final answer; a correction that may have run is never sent again; a part has
+// one attempt in flight at a time; a complete answer covers its view; no state is left at the end.
 func FuzzResharding(f *testing.F) {
 	f.Add(uint64(1), uint16(300))
 	f.Add(uint64(9), uint16(1500))
@@ -30,11 +30,11 @@
 		}
 		for range steps % 2500 {
 			z.step()
-			z.checkCalls()
+			z.checkAttempts()
 		}
 		z.endEverything()
 		z.checkAnswers()
-		z.assertNothingHeld()
+		z.assertNoState()
 	})
 }
 
@@ -47,7 +47,7 @@
 	seen       map[AttemptID]bool
 }
 
-// requestID is the id of the request that a call is for.
+// requestID returns the id of the request that an attempt belongs to.
 func requestID(c OutgoingAttempt) string {
 	id, _, _ := strings.Cut(c.Name, ".")
 	return id
@@ -58,8 +58,8 @@
 	switch roll := z.rng.IntN(12); {
 	case roll < 3:
 		z.sendRequest()
-	case roll < 8 && len(z.calls) > 0:
-		z.endOne()
+	case roll < 8 && len(z.attempts) > 0:
+		z.endRandomAttempt()
 	case roll == 8:
 		z.turn(ShardMapOffered{Source: "test"})
 	default:
@@ -79,13 +79,13 @@
 	z.requestShards(id, z.classes[id], key)
 }
 
-// endOne ends one of the calls in flight.
-func (z *reshardingFuzz) endOne() {
-	c := z.takeCall(z.rng.IntN(len(z.calls)))
-	z.turn(AttemptEnded{Attempt: c.Attempt, Err: z.randomEnd(c), Value: fmt.Sprint(c.Shard)})
+// endRandomAttempt ends one of the attempts in flight.
+func (z *reshardingFuzz) endRandomAttempt() {
+	c := z.takeAttempt(z.rng.IntN(len(z.attempts)))
+	z.turn(AttemptEnded{Attempt: c.Attempt, Err: z.randomResult(c), Value: fmt.Sprint(c.Shard)})
 }
 
-func (z *reshardingFuzz) randomEnd(c OutgoingAttempt) error {
+func (z *reshardingFuzz) randomResult(c OutgoingAttempt) error {
 	switch roll := z.rng.IntN(8); {
 	case slices.Contains(z.canceled, c.Attempt):
 		z.mayHaveRun[requestID(c)] = true
@@ -96,7 +96,7 @@
 	case roll == 1:
 		return &AttemptError{Progress: NotConnected}
 	case roll < 5:
-		return notHeld(shardmap.Mismatch(1+z.rng.IntN(2)), z.shardMap.Epoch+shardmap.Epoch(z.rng.IntN(3)))
+		return mapRejection(shardmap.Mismatch(1+z.rng.IntN(2)), z.shardMap.Epoch+shardmap.Epoch(z.rng.IntN(3)))
 	}
 	z.mayHaveRun[requestID(c)] = true
 	return nil
@@ -127,11 +127,11 @@
 	}
 }
 
-// checkCalls checks what is in flight.
-func (z *reshardingFuzz) checkCalls() {
+// checkAttempts checks the attempts in flight.
+func (z *reshardingFuzz) checkAttempts() {
 	z.t.Helper()
 	inFlight := map[string]bool{}
-	for _, c := range z.calls {
+	for _, c := range z.attempts {
 		if id := requestID(c); !z.seen[c.Attempt] && z.classes[id] == correction && z.mayHaveRun[id] {
 			z.t.Fatalf("correction %s is sent again after it may have run", id)
 		}
@@ -143,19 +143,19 @@
 	}
 }
 
-// endEverything ends whatever is in flight, and lets all deadlines pass.
+// endEverything ends all attempts in flight, and lets all deadlines expire.
 func (z *reshardingFuzz) endEverything() {
 	for range 500 {
 		z.now = z.now.Add(20 * time.Millisecond)
 		z.turn(ShardMapOffered{Source: "test"})
-		for len(z.calls) > 0 {
-			c := z.takeCall(0)
+		for len(z.attempts) > 0 {
+			c := z.takeAttempt(0)
 			z.turn(AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: Written, Canceled: true}})
 		}
 	}
 }
 
-// checkAnswers checks that each request has one final answer, and that it is right.
+// checkAnswers checks that each request has one final answer that is allowed.
 func (z *reshardingFuzz) checkAnswers() {
 	z.t.Helper()
 	for i := range z.requests {
--- a/internal/aggregator/resharding_harness_test.go
+++ b/internal/aggregator/resharding_harness_test.go
@@ -11,7 +11,7 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// reshardingHarness is a harness with four servers, "a" to "d", and a shard map of two shards that "a" and "b" hold.
+// reshardingHarness is a harness with four servers, "a" to "d", and a shard map of two shards that "a" and "b" serve.
 type reshardingHarness struct {
 	*harness
 	mapRequests     int
@@ -71,13 +71,14 @@
 	return h
 }
 
-// offer offers the core a map, which is the present one from then on.
+// offer offers the core a map, which is the current one from then on.
 func (h *reshardingHarness) offer(m *shardmap.Map) {
 	h.shardMap = m
 	h.turn(ShardMapOffered{Source: "test", Map: m})
 }
 
-// applyPlan offers the maps that a plan's steps lead to. It takes the planner's error, too, and fails on it.
+// applyPlan offers the maps that result from the steps of a plan. It fails the test if err, the planner's error, is
+// set.
 func (h *reshardingHarness) applyPlan(plan *shardmap.Plan, err error) {
 	h.t.Helper()
 	if err != nil {
@@ -92,19 +93,19 @@
 	}
 }
 
-// migrate offers the maps by which a shard moves to newHolders.
+// migrate offers the maps by which a shard moves to newReplicas.
 func (h *reshardingHarness) migrate(id shardmap.ID) {
 	h.t.Helper()
-	h.applyPlan(shardmap.PlanMigration(h.shardMap, id, newHolders, shardmap.Timing{}))
+	h.applyPlan(shardmap.PlanMigration(h.shardMap, id, newReplicas, shardmap.Timing{}))
 }
 
-// splitSecondShard offers the maps by which shard 2 is split into 3 and 4.
+// splitSecondShard offers the maps by which shard 2 is split into shards 3 and 4.
 func (h *reshardingHarness) splitSecondShard() {
 	h.t.Helper()
 	h.applyPlan(shardmap.PlanSplit(h.shardMap, 2, []shardmap.Key{"p@2000"}, shardmap.Timing{}))
 }
 
-// merge offers the maps by which shards become one.
+// merge offers the maps by which shards are merged into one.
 func (h *reshardingHarness) merge(ids ...shardmap.ID) {
 	h.t.Helper()
 	h.applyPlan(shardmap.PlanMerge(h.shardMap, ids, shardmap.Timing{}))
@@ -125,46 +126,46 @@
 	h.turn(RequestArrived{Request: r})
 }
 
-// endAt ends the call in flight at a server for a shard.
+// endAt ends the attempt in flight at a server for a shard.
 func (h *reshardingHarness) endAt(server string, shard int, err error) {
 	h.t.Helper()
-	for i, c := range h.calls {
+	for i, c := range h.attempts {
 		if string(h.servers[i].ID) == server && c.Shard == shard {
-			h.takeCall(i)
+			h.takeAttempt(i)
 			h.turn(AttemptEnded{Attempt: c.Attempt, Err: err, Value: fmt.Sprintf("%d at %s", shard, server)})
 			return
 		}
 	}
-	h.t.Fatalf("nothing of shard %d is in flight at %s: %s", shard, server, h.inFlight())
+	h.t.Fatalf("no attempt for shard %d is in flight at %s: %s", shard, server, h.inFlight())
 }
 
-// inFlight says what is in flight, as "shard@server" in the order of sending.
+// inFlight returns the attempts in flight, as "shard@server" in the order in which they were sent.
 func (h *reshardingHarness) inFlight() string {
 	var all []string
-	for i, c := range h.calls {
+	for i, c := range h.attempts {
 		all = append(all, fmt.Sprintf("%d@%s", c.Shard, h.servers[i].ID))
 	}
 	return strings.Join(all, " ")
 }
 
-// firstServer is where the earliest call in flight was sent.
+// firstServer returns the server of the earliest attempt in flight.
 func (h *reshardingHarness) firstServer() string { return string(h.servers[0].ID) }
 
-// notHeld is a server's rejection by its shard map of an epoch.
-func notHeld(status shardmap.Mismatch, epoch shardmap.Epoch) error {
+// mapRejection returns the error of an attempt that a server rejected because of its shard map of an epoch.
+func mapRejection(status shardmap.Mismatch, epoch shardmap.Epoch) error {
 	return &AttemptError{Progress: Answered, Rejected: true, MapStatus: status, Epoch: epoch}
 }
 
-// otherHolder is the server that holds the same shards.
-func otherHolder(server string) string {
+// otherReplica returns the other server that serves the same shards.
+func otherReplica(server string) string {
 	return map[string]string{"a": "b", "b": "a", "c": "d", "d": "c"}[server]
 }
 
-// newHolders hold what is moved.
-var newHolders = []string{"c", "d"}
+// newReplicas serve the shards that are moved.
+var newReplicas = []string{"c", "d"}
 
-// assertNothingHeld checks that nothing is left of any query.
-func (h *reshardingHarness) assertNothingHeld() {
+// assertNoState checks that no state of any query is left.
+func (h *reshardingHarness) assertNoState() {
 	h.t.Helper()
 	c := h.core
 	epochs, queries := c.Resharding.Views.Pinned()
@@ -182,12 +183,13 @@
 	r.summaries = append(r.summaries, summary)
 }
 
-// coversExactly says that an answer is complete and has the items of these shards, in ascending order, and no others.
+// coversExactly reports whether an answer is complete and has the items of exactly these shards, which are in ascending
+// order.
 func (f FinalAnswer) coversExactly(want []int) bool {
 	return f.Status == StatusServed && f.Complete && f.AnsweredWeight >= 0.999 && slices.Equal(shards(f), want)
 }
 
-// shards are the shards of an answer's items, in ascending order.
+// shards returns the shards of an answer's items, in ascending order.
 func shards(final FinalAnswer) (list []int) {
 	for _, item := range final.Items {
 		list = append(list, item.Shard)
--- a/internal/aggregator/resharding_test.go
+++ b/internal/aggregator/resharding_test.go
@@ -11,33 +11,33 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// A correction (a request that must not run twice) whose old holder rejects it goes to another one of its view, is then
-// restarted on the newer map, and runs once.
+// A correction (a request that must not run twice) that is rejected by its previous replica is sent to the other
+// replica of its view, is then restarted on the newer map, and runs once.
 func TestResharding_RejectedCorrectionRunsAtTheNewHolder(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("q", 1, "x@2000")
 	first := h.firstServer()
 	h.migrate(2)
-	h.endAt(first, 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
-	if h.inFlight() != "2@"+otherHolder(first) {
+	h.endAt(first, 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
+	if h.inFlight() != "2@"+otherReplica(first) {
 		t.Fatalf("in flight: %s", h.inFlight())
 	}
-	h.endAt(otherHolder(first), 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
+	h.endAt(otherReplica(first), 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
 	if now := h.firstServer(); now != "c" && now != "d" {
 		t.Fatalf("in flight: %s", h.inFlight())
 	}
-	if h.calls[0].Epoch != h.shardMap.Epoch {
-		t.Errorf("sent with epoch %d", h.calls[0].Epoch)
+	if h.attempts[0].Epoch != h.shardMap.Epoch {
+		t.Errorf("sent with epoch %d", h.attempts[0].Epoch)
 	}
 	h.endAt(h.firstServer(), 2, nil)
 	if f := h.answer("q"); f.Status != StatusServed || !f.Complete || h.core.Counters.Restarts != 1 {
 		t.Errorf("%+v, restarted %d times", f, h.core.Counters.Restarts)
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
 
-// A correction that may have run at its old holder is never sent to a new one: not after a reset, an error, a
-// time-out, or a rejection after that, across any number of epochs.
+// A correction that may have run at its previous replica is never sent to a new one: not after a reset, an error, a
+// timeout, or a rejection that follows one of these, across any number of epochs.
 func TestResharding_CorrectionThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, err := range map[string]error{
 		"reset":          &AttemptError{Progress: Written, Cause: errors.New("reset")},
@@ -55,22 +55,22 @@
 		}
 		for range 400 {
 			h.advance(10 * time.Millisecond)
-			if name == "no answer" && len(h.canceled) > 0 && len(h.calls) == 1 {
+			if name == "no answer" && len(h.canceled) > 0 && len(h.attempts) == 1 {
 				// The server is notified at the deadline.
 				h.endAt(first, 2, &AttemptError{Progress: Written, Canceled: true})
 			}
 		}
-		if len(h.calls) > 0 || len(h.callSizes) != 1 {
+		if len(h.attempts) > 0 || len(h.callSizes) != 1 {
 			t.Errorf("%s: %d sends, in flight %s", name, len(h.callSizes), h.inFlight())
 		}
 		if final := h.answer("q"); final.Status != StatusFailed {
 			t.Errorf("%s: %+v", name, final)
 		}
-		h.assertNothingHeld()
+		h.assertNoState()
 	}
 }
 
-// An answer of the old holder after the switch counts: it ran there.
+// An answer of the previous replica counts after a shard has moved: the part ran there.
 func TestResharding_AnswerOfTheOldHolderCountsAfterTheSwitch(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("q", 1, "x@2000")
@@ -79,11 +79,12 @@
 	if f := h.answer("q"); f.Status != StatusServed || h.core.Counters.Restarts != 0 {
 		t.Errorf("%+v", f)
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
 
-// A search in flight across a split is answered from its own view: by the parent, and neither half; the next one
-// has both halves. Where the old holders serve the parent no longer, all of it is restarted, each shard once.
+// A search that is in flight during a split is answered from its own view: by the parent shard and neither successor;
+// the next search is answered by both successors. If the previous replicas no longer serve the parent, the complete
+// search is restarted, with each shard once.
 func TestResharding_SearchAcrossASplit(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		h := newReshardingHarness(t)
@@ -93,17 +94,17 @@
 			t.Errorf("%d epochs pinned by %d queries", e, q)
 		}
 		h.requestShards("next", 0, "")
-		for _, c := range slices.Clone(h.calls) {
-			i := slices.IndexFunc(h.calls, func(o OutgoingAttempt) bool { return o.Attempt == c.Attempt })
+		for _, c := range slices.Clone(h.attempts) {
+			i := slices.IndexFunc(h.attempts, func(o OutgoingAttempt) bool { return o.Attempt == c.Attempt })
 			if c.Shard == 2 && !served {
 				s := string(h.servers[i].ID)
-				h.endAt(s, 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
-				h.endAt(otherHolder(s), 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
+				h.endAt(s, 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
+				h.endAt(otherReplica(s), 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
 				continue
 			}
 			h.endAt(string(h.servers[i].ID), c.Shard, nil)
 		}
-		if !served { // it is restarted once nothing of it is in flight
+		if !served { // it restarts once none of its attempts is in flight
 			h.endAll(nil)
 		}
 		want := map[string][]int{"q": {1, 2}, "next": {1, 3, 4}}
@@ -116,12 +117,12 @@
 				t.Errorf("%s, served %v: %+v", id, served, final)
 			}
 		}
-		h.assertNothingHeld()
+		h.assertNoState()
 	}
 }
 
-// The same across a merge, a move to other holders, and two changes in a row: every shard of one view once, whether the
-// old holders serve still or reject every part.
+// The same during a merge, a move to other replicas, and two successive changes: the answer has every shard of one view
+// once, whether the previous replicas still serve or reject every part.
 func TestResharding_SearchAcrossMergeMoveAndTwoChanges(t *testing.T) {
 	for name, c := range map[string]struct {
 		reshard func(h *reshardingHarness)
@@ -147,15 +148,15 @@
 			h := newReshardingHarness(t)
 			h.requestShards("q", 0, "")
 			c.reshard(h)
-			for len(h.calls) > 0 {
-				call, s := h.calls[0], h.firstServer()
+			for len(h.attempts) > 0 {
+				attempt, s := h.attempts[0], h.firstServer()
 				switch {
-				case slices.Contains(h.canceled, call.Attempt):
-					h.endAt(s, call.Shard, &AttemptError{Progress: Written, Canceled: true})
-				case !served && call.Epoch < h.shardMap.Epoch:
-					h.endAt(s, call.Shard, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
+				case slices.Contains(h.canceled, attempt.Attempt):
+					h.endAt(s, attempt.Shard, &AttemptError{Progress: Written, Canceled: true})
+				case !served && attempt.Epoch < h.shardMap.Epoch:
+					h.endAt(s, attempt.Shard, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
 				default:
-					h.endAt(s, call.Shard, nil)
+					h.endAt(s, attempt.Shard, nil)
 				}
 			}
 			want := []int{1, 2}
@@ -165,68 +166,68 @@
 			if final := h.answer("q"); !final.coversExactly(want) {
 				t.Errorf("%s, served %v: %+v, want %v", name, served, final, want)
 			}
-			h.assertNothingHeld()
+			h.assertNoState()
 		}
 	}
 }
 
-// Nothing of a query is in flight when it is restarted: one attempt of a part at a time.
+// No attempt of a query is in flight when it is restarted: a part has at most one attempt at a time.
 func TestResharding_RestartsOnlyWhenNothingIsInFlight(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("q", 0, "")
 	h.migrate(2)
 	var second string
-	for i, c := range h.calls {
+	for i, c := range h.attempts {
 		if c.Shard == 2 {
 			second = string(h.servers[i].ID)
 		}
 	}
-	h.endAt(second, 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
-	h.endAt(otherHolder(second), 2, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
-	if len(h.calls) != 1 || h.calls[0].Shard != 1 || len(h.canceled) != 1 {
+	h.endAt(second, 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
+	h.endAt(otherReplica(second), 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
+	if len(h.attempts) != 1 || h.attempts[0].Shard != 1 || len(h.canceled) != 1 {
 		t.Fatalf("in flight: %s, canceled %d", h.inFlight(), len(h.canceled))
 	}
 	h.endAt(h.firstServer(), 1, &AttemptError{Progress: Written, Canceled: true})
-	if len(h.calls) != 2 {
+	if len(h.attempts) != 2 {
 		t.Fatalf("in flight: %s", h.inFlight())
 	}
 	h.endAll(nil)
 	if f := h.answer("q"); f.Status != StatusServed || !f.Complete {
 		t.Errorf("%+v", f)
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
 
-// A second step stays on the view of the first, though the map has moved on.
+// A second step stays on the view of the first step, even if there is a newer map.
 func TestResharding_SecondStepStaysOnItsView(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("q", 2, "")
 	old := h.shardMap.Epoch
 	h.splitSecondShard()
 	h.endAll(nil)
-	if len(h.calls) != 2 || !h.calls[0].FollowUp || h.calls[0].Epoch != old ||
-		h.calls[0].Shard > 2 || h.calls[1].Shard > 2 {
-		t.Fatalf("%+v", h.calls)
+	if len(h.attempts) != 2 || !h.attempts[0].FollowUp || h.attempts[0].Epoch != old ||
+		h.attempts[0].Shard > 2 || h.attempts[1].Shard > 2 {
+		t.Fatalf("%+v", h.attempts)
 	}
-	// Its holders reject one part: there is no other view for it.
+	// Its replicas reject one part, which cannot be restarted on another view.
 	server := h.firstServer()
-	shard := h.calls[0].Shard
-	h.endAt(server, shard, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
-	h.endAt(otherHolder(server), shard, notHeld(shardmap.NoLongerServed, h.shardMap.Epoch))
+	shard := h.attempts[0].Shard
+	h.endAt(server, shard, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
+	h.endAt(otherReplica(server), shard, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
 	h.endAll(nil)
 	if f := h.answer("q"); f.Status == StatusServed && f.Complete || h.core.Counters.Restarts != 0 {
 		t.Errorf("%+v", f)
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
 
-// A server knows of a newer map than the aggregator. A newer one is requested from the source; with it the query is
-// restarted; where the source has none the query is rejected, after the patience for sources that are behind.
+// A server has a newer map than the aggregator. A newer map is requested from the source. If the source provides one,
+// the query is restarted; if not, the query is rejected once MaxSourceLag has elapsed.
 func TestResharding_WaitsForAnOverdueMap(t *testing.T) {
 	for _, arrives := range []bool{true, false} {
 		h := newReshardingHarness(t)
 		next := h.shardMap
-		p, err := shardmap.PlanMigration(h.shardMap, 2, newHolders, shardmap.Timing{})
+		p, err := shardmap.PlanMigration(h.shardMap, 2, newReplicas, shardmap.Timing{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -237,15 +238,15 @@
 		}
 		h.requestShards("q", 1, "x@2000")
 		s := h.firstServer()
-		h.endAt(s, 2, notHeld(shardmap.NoLongerServed, 4))
+		h.endAt(s, 2, mapRejection(shardmap.NoLongerServed, 4))
 		if h.mapRequests != 1 {
 			t.Errorf("a map was requested %d times", h.mapRequests)
 		}
-		h.endAt(otherHolder(s), 2, notHeld(shardmap.NoLongerServed, 4))
-		if len(h.answers["q"]) > 0 || len(h.calls) > 0 {
+		h.endAt(otherReplica(s), 2, mapRejection(shardmap.NoLongerServed, 4))
+		if len(h.answers["q"]) > 0 || len(h.attempts) > 0 {
 			t.Fatalf("%+v, in flight %s", h.answers, h.inFlight())
 		}
-		h.turn(ShardMapOffered{Source: "test"}) // nothing newer yet: the source may be behind
+		h.turn(ShardMapOffered{Source: "test"}) // no newer map yet: the source may be behind
 		if len(h.answers["q"]) > 0 || h.mapRequestsSoon != 1 {
 			t.Fatalf("%+v, requested again %d times", h.answers, h.mapRequestsSoon)
 		}
@@ -262,16 +263,16 @@
 				t.Errorf("%+v", f)
 			}
 		}
-		h.assertNothingHeld()
+		h.assertNoState()
 	}
 }
 
-// Holders that drain get nothing, by whatever view; the others of the view do.
+// Draining replicas receive nothing, by any view; the other replicas of the view do.
 func TestResharding_DrainingHoldersOfAnOldViewGetNothing(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("q", 0, "")
 	h.endAt("a", 1, &AttemptError{Progress: NotConnected})
-	h.turn(changeOf(Server{ID: "a", Addr: "a:1", State: balance.Draining}))
+	h.turn(endpointChange(Server{ID: "a", Addr: "a:1", State: balance.Draining}))
 	h.splitSecondShard()
 	before := len(h.callSizes)
 	h.requestShards("late", 0, "")
@@ -280,7 +281,7 @@
 			t.Errorf("in flight: %s", h.inFlight())
 		}
 	}
-	h.turn(changeOf(Server{ID: "b", Addr: "b:1", State: balance.Draining}))
+	h.turn(endpointChange(Server{ID: "b", Addr: "b:1", State: balance.Draining}))
 	before = len(h.callSizes)
 	h.requestShards("none", 1, "x@2000")
 	if len(h.callSizes) != before {
@@ -291,32 +292,33 @@
 	}
 }
 
-// A server's rejection contradicts the map that both know: it is reported as false, and the part goes to the others.
+// A rejection that contradicts the map that server and aggregator have is reported as false, and the part is sent to
+// the other replica.
 func TestResharding_FalseRejectionIsReported(t *testing.T) {
 	h := newReshardingHarness(t)
 	recorder := &summaryRecorder{}
 	h.core.Observer = recorder
 	h.requestShards("q", 1, "x@2000")
 	s := h.firstServer()
-	h.endAt(s, 2, notHeld(shardmap.NoLongerServed, 1))
+	h.endAt(s, 2, mapRejection(shardmap.NoLongerServed, 1))
 	if h.mapRequests != 0 || h.core.Resharding.Views.Stats.FalseRejections != 1 ||
 		len(recorder.summaries) != 1 || !recorder.summaries[0].FalseRejection {
 		t.Errorf("requested %d, %+v", h.mapRequests, recorder.summaries)
 	}
-	h.endAt(otherHolder(s), 2, nil)
+	h.endAt(otherReplica(s), 2, nil)
 	if final := h.answer("q"); final.Status != StatusServed {
 		t.Errorf("%+v", final)
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
 
-// A partial answer states its answered weight by the weights of its view.
+// The answered weight of a partial answer is computed from the weights of its view.
 func TestResharding_PartialAnswerIsWeighedByItsView(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.core.limits.FollowUpParts = nil
 	h.requestShards("q", 2, "")
 	h.splitSecondShard()
-	for i, c := range h.calls {
+	for i, c := range h.attempts {
 		if c.Shard == 2 {
 			h.endAt(string(h.servers[i].ID), 2, nil)
 			break
@@ -332,7 +334,7 @@
 	}
 }
 
-// Queries leave views beyond the number that is held: restarted where they may be, else left to their answer.
+// Queries on views beyond MaxPinnedEpochs are restarted if they may be; the others keep their view until their answer.
 func TestResharding_QueriesLeaveExpiredViews(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("idempotent", 0, "")
@@ -350,8 +352,8 @@
 	if len(h.rejected) > 0 || h.core.Counters.Restarts != 1 { // "idempotent"
 		t.Errorf("%v, restarted %d", h.rejected, h.core.Counters.Restarts)
 	}
-	for len(h.calls) > 0 || len(h.canceled) > 0 {
-		for _, c := range h.takeCalls() {
+	for len(h.attempts) > 0 || len(h.canceled) > 0 {
+		for _, c := range h.takeAttempts() {
 			var err error
 			if slices.Contains(h.canceled, c.Attempt) {
 				err = &AttemptError{Progress: Written, Canceled: true}
@@ -360,10 +362,10 @@
 		}
 		h.canceled = nil
 	}
-	for _, id := range []string{"idempotent", "not idempotent"} { // a correction in flight is left to its answer
+	for _, id := range []string{"idempotent", "not idempotent"} { // a correction in flight keeps its view
 		if f := h.answer(id); f.Status != StatusServed || !f.Complete {
 			t.Errorf("%s: %+v", id, f)
 		}
 	}
-	h.assertNothingHeld()
+	h.assertNoState()
 }
--- a/internal/aggregator/restart.go
+++ b/internal/aggregator/restart.go
@@ -8,31 +8,32 @@
 	"rooktrestle/balance"
 )
 
-// Restart gives every open query its final answer and goes on with a new balancer. It is called after a panic in a
-// turn: it guards the process, and the queries it holds. Nothing of them is sent again. events are those of the
-// turn that panicked, which may not have been handled.
-func (c *Core) Restart(now time.Time, fresh *balance.Balancer, events []Event) {
+// Restart fails every open query and continues with a new balancer. It is called after a panic in a turn, so that the
+// process survives and each open query receives its final answer. No part is sent again. events are those of the turn
+// that panicked, some of which may not have been handled.
+func (c *Core) Restart(now time.Time, newBalancer *balance.Balancer, events []Event) {
 	c.now = now
 	c.Counters.Panics++
 	for _, q := range c.openQueries() {
 		c.close(q, FinalAnswer{Status: StatusFailed})
 	}
 	c.recoverEvents(events)
-	c.balancer = fresh
+	c.balancer = newBalancer
 	c.pending = nil
 	c.calls = nil
 	c.timerAt = time.Time{}
 	c.dropAttempts()
 	list := EndpointsChanged{Kind: balance.ListFull, Servers: c.listedServers()}
-	fresh.Turn(c.clock(now), []balance.Event{c.updateServers(list)})
+	newBalancer.Turn(c.clock(now), []balance.Event{c.updateServers(list)})
 }
 
-// recoverEvents fails the requests among the events that have no answer yet, and keeps the changes of endpoints.
+// recoverEvents fails the requests among the events that have no answer yet, and applies the changes of endpoints and
+// maintenance.
 func (c *Core) recoverEvents(events []Event) {
 	for _, event := range events {
 		switch e := event.(type) {
 		case RequestArrived:
-			if !e.Request.done {
+			if !e.Request.completed {
 				c.Counters.Failed++
 				c.deliver(e.Request, FinalAnswer{Status: StatusFailed})
 			}
@@ -44,7 +45,7 @@
 	}
 }
 
-// dropAttempts forgets the attempts in flight, and lets the backend give them up.
+// dropAttempts removes the attempts in flight, and lets the backend cancel them.
 func (c *Core) dropAttempts() {
 	for _, a := range c.attemptsInFlight(func(*attempt) bool { return true }) {
 		delete(c.attempts, a.id)
@@ -56,7 +57,7 @@
 	}
 }
 
-// listedServers are the servers as last listed, in the order of their ids.
+// listedServers returns the listed servers, ordered by id.
 func (c *Core) listedServers() (list []Server) {
 	for _, s := range c.servers {
 		list = append(list, s)
--- a/internal/aggregator/same_turn_test.go
+++ b/internal/aggregator/same_turn_test.go
@@ -7,7 +7,7 @@
 	"rooktrestle/balance"
 )
 
-// cancelRecorder notes what a core says of each attempt that it gives up.
+// cancelRecorder records for each attempt that the core cancels whether its part may be retried.
 type cancelRecorder struct {
 	*harness
 	mayRetry map[AttemptID]bool
@@ -33,9 +33,8 @@
 	return r
 }
 
-// A part that may have run is to be written again within its class's dedup window, counted from its first attempt
-// that may have run; one that never ran starts none. The balancer looks when it chooses, and the connection may
-// come up later.
+// A part that may have run must be written again within the deduplication window of its class, which starts with its
+// first attempt that may have run. The balancer checks this when it sends, but the connection may be established later.
 func TestCore_DedupWindowBindsTheWrite(t *testing.T) {
 	const window = 700 * time.Millisecond
 	settings := balancerSettings()
@@ -52,56 +51,56 @@
 		DeadlineMargin: 20 * time.Millisecond,
 	}, startTime)
 	h.turn(twoServers)
-	next := func() OutgoingAttempt { // the next call that is sent
+	next := func() OutgoingAttempt { // the next attempt that is sent
 		t.Helper()
-		for i := 0; len(h.calls) == 0; i++ {
+		for i := 0; len(h.attempts) == 0; i++ {
 			if i > 1000 {
 				t.Fatal("not sent again")
 			}
 			h.advance(5 * time.Millisecond)
 		}
-		c := h.takeCall(0)
+		c := h.takeAttempt(0)
 		return c
 	}
 	h.request("q", 0, 1)
 	c := next()
 	if !c.WriteBy.IsZero() {
-		t.Errorf("a first attempt is bound to %v", c.WriteBy)
+		t.Errorf("a first attempt must be written by %v, want no limit", c.WriteBy)
 	}
 	h.turn(AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: Answered, Rejected: true}})
 	c = next()
 	if !c.WriteBy.IsZero() {
-		t.Errorf("after one that never ran it is bound to %v", c.WriteBy)
+		t.Errorf("after an attempt that never ran: must be written by %v, want no limit", c.WriteBy)
 	}
 	first := h.now
 	h.turn(AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: Written}})
 	c = next()
 	if !c.WriteBy.Equal(first.Add(window)) {
-		t.Errorf("bound to %v, want %v", c.WriteBy, first.Add(window))
+		t.Errorf("must be written by %v, want %v", c.WriteBy, first.Add(window))
 	}
 	h.request("other", 1, 1)
 	if c := next(); !c.WriteBy.IsZero() {
-		t.Errorf("a class without a window is bound to %v", c.WriteBy)
+		t.Errorf("a class without a window: must be written by %v, want no limit", c.WriteBy)
 	}
 }
 
-// A canceled part may be retried where its attempt has timed out and its query goes on, and not where its client has
-// disconnected.
+// The part of a canceled attempt may be retried if the attempt timed out and its query is still open, but not if its
+// client has disconnected.
 func TestCore_CancelSaysWhetherThePartMayBeRetried(t *testing.T) {
 	settings := balancerSettings()
-	settings.CanCancel = false // attempts have time-outs
+	settings.CanCancel = false // attempts have timeouts
 	h := newCancelRecorder(t, settings)
 	h.request("times out", 0, 1)
 	for i := 0; len(h.canceled) == 0 && i < 500; i++ {
 		h.advance(5 * time.Millisecond)
 	}
-	if mayRetry, ok := h.mayRetry[h.calls[0].Attempt]; !ok || !mayRetry {
+	if mayRetry, ok := h.mayRetry[h.attempts[0].Attempt]; !ok || !mayRetry {
 		t.Errorf("timed out: may be retried %v, canceled %v", mayRetry, ok)
 	}
 	h = newCancelRecorder(t, balancerSettings())
 	r := h.request("leaves", 0, 1)
 	h.turn(ClientDisconnected{Request: r})
-	if mayRetry, ok := h.mayRetry[h.calls[0].Attempt]; !ok || mayRetry {
+	if mayRetry, ok := h.mayRetry[h.attempts[0].Attempt]; !ok || mayRetry {
 		t.Errorf("its client has disconnected: may be retried %v, canceled %v", mayRetry, ok)
 	}
 }
@@ -113,23 +112,23 @@
 	r := h.newRequest("q", 0)
 	r.Parts = []PartSpec{{Weight: 1}}
 	h.turn(RequestArrived{Request: r}, ClientDisconnected{Request: r})
-	if len(h.calls) != 0 || h.core.OpenQueries() != 0 || h.core.Counters.Disconnected != 1 {
-		t.Errorf("sent %d, held %d, %v", len(h.calls), h.core.OpenQueries(), h.core.Counters)
+	if len(h.attempts) != 0 || h.core.OpenQueries() != 0 || h.core.Counters.Disconnected != 1 {
+		t.Errorf("%d attempts sent, %d open queries, %v", len(h.attempts), h.core.OpenQueries(), h.core.Counters)
 	}
 	r = h.request("back", 0, 1)
-	c := h.takeCall(0)
+	c := h.takeAttempt(0)
 	rejected := AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: Answered, Rejected: true}}
 	h.turn(rejected, ClientDisconnected{Request: r})
 	h.advance(time.Second)
-	if len(h.calls) != 0 || h.core.OpenQueries() != 0 {
-		t.Errorf("sent %d, held %d", len(h.calls), h.core.OpenQueries())
+	if len(h.attempts) != 0 || h.core.OpenQueries() != 0 {
+		t.Errorf("%d attempts sent, %d open queries", len(h.attempts), h.core.OpenQueries())
 	}
 }
 
-// A server that begins to drain in the turn of a request, or of the end of its first attempt, gets nothing in that
+// A server that starts to drain in the turn of a request, or of the end of its first attempt, receives nothing in that
 // turn.
 func TestCore_ServerDrainsInTheTurnOfTheSend(t *testing.T) {
-	drain := changeOf(Server{ID: "a", Addr: "a:1", State: balance.Draining})
+	drain := endpointChange(Server{ID: "a", Addr: "a:1", State: balance.Draining})
 	for _, drains := range []bool{true, false} {
 		h := newHarness(t)
 		r := h.newRequest("q", 0)
@@ -138,8 +137,8 @@
 		if len(h.servers) != 1 || h.servers[0].ID != "b" {
 			t.Fatalf("sent to %+v", h.servers)
 		}
-		c := h.takeCall(0)
-		h.turn(changeOf(Server{ID: "a", Addr: "a:1"}))
+		c := h.takeAttempt(0)
+		h.turn(endpointChange(Server{ID: "a", Addr: "a:1"}))
 		events := []Event{AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: Written}}}
 		if drains {
 			events = append(events, drain)
@@ -151,21 +150,21 @@
 	}
 }
 
-// A time-out is due in the turn that brings the answer: the part is served and nothing is canceled. In the turn
-// before, the attempt is canceled, and its answer counts as long as the backend has not ended it.
+// If a timeout is due in the turn of the answer, the part is answered and nothing is canceled. If it is due in the
+// previous turn, the attempt is canceled, and its answer counts as long as the backend has not reported its end.
 func TestCore_TimeoutCrossesTheAnswer(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		settings := balancerSettings()
-		settings.CanCancel = false // attempts have time-outs
+		settings.CanCancel = false // attempts have timeouts
 		h := newCancelRecorder(t, settings)
 		h.request("q", 0, 1)
-		c := h.takeCall(0)
+		c := h.takeAttempt(0)
 		h.now = c.Deadline
 		if late {
 			h.turn()
 		}
 		h.turn(AttemptEnded{Attempt: c.Attempt, Value: "v"})
-		final := h.answer("q") // the answer counts while the cancellation is under way, too
+		final := h.answer("q") // the answer also counts while the cancellation is pending
 		if final.Status != StatusServed || len(final.Items) != 1 || final.Items[0].Value != "v" {
 			t.Errorf("late %v: %+v", late, final)
 		}
@@ -175,27 +174,28 @@
 	}
 }
 
-// The client's deadline, its disconnecting and the end of the last attempt come in one turn, in each order: the
-// query ends once, and nothing of it is retried.
+// The client's deadline, its disconnect and the end of the last attempt are handled in one turn, in each order: the
+// query is completed once, and no part of it is retried.
 func TestCore_DeadlineDisconnectAndAttemptEndInOneTurn(t *testing.T) {
 	for name, turn := range map[string]func(ended, left Event) []Event{
-		"the attempt ends, the client leaves": func(ended, left Event) []Event { return []Event{ended, left} },
-		"the client leaves, the attempt ends": func(ended, left Event) []Event { return []Event{left, ended} },
-		"the attempt ends":                    func(ended, _ Event) []Event { return []Event{ended} },
-		"the client leaves":                   func(_, left Event) []Event { return []Event{left} },
-		"the deadline alone":                  func(_, _ Event) []Event { return nil },
-		"the client leaves twice":             func(_, left Event) []Event { return []Event{left, left} },
+		"the attempt ends, the client disconnects": func(ended, left Event) []Event { return []Event{ended, left} },
+		"the client disconnects, the attempt ends": func(ended, left Event) []Event { return []Event{left, ended} },
+		"the attempt ends":                         func(ended, _ Event) []Event { return []Event{ended} },
+		"the client disconnects":                   func(_, left Event) []Event { return []Event{left} },
+		"the deadline alone":                       func(_, _ Event) []Event { return nil },
+		"the client disconnects twice":             func(_, left Event) []Event { return []Event{left, left} },
 	} {
 		h := newHarness(t)
 		r := h.request("q", 0, 1)
-		c := h.takeCall(0)
+		c := h.takeAttempt(0)
 		h.now = h.now.Add(r.Timeout)
 		ended := AttemptEnded{Attempt: c.Attempt, Err: &AttemptError{Progress: NotConnected}}
 		left := ClientDisconnected{Request: r}
 		h.turn(turn(ended, left)...)
 		h.turn(ended, left)
-		if len(h.calls) != 0 || h.core.OpenQueries() != 0 || len(h.answers["q"]) > 1 {
-			t.Errorf("%s: sent %d, held %d, %d answers", name, len(h.calls), h.core.OpenQueries(), len(h.answers["q"]))
+		if len(h.attempts) != 0 || h.core.OpenQueries() != 0 || len(h.answers["q"]) > 1 {
+			t.Errorf("%s: %d attempts sent, %d open queries, %d answers",
+				name, len(h.attempts), h.core.OpenQueries(), len(h.answers["q"]))
 		}
 		counters := h.core.Counters
 		if counters.Received != 1 || counters.Served+counters.Rejected+counters.Failed+counters.Disconnected != 1 {
--- a/internal/aggregator/wallclock.go
+++ b/internal/aggregator/wallclock.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// serverStart is a server's start as the list states it, by the wall clock, and as the balancer knows it.
+// serverStart is when a server started: on the wall clock, as the endpoint list states it, and on the balancer's clock.
 type serverStart struct {
 	listed time.Time
 	clock  time.Duration
 }
 
 const (
-	// minWallStep is the least difference between the progress of the two clocks that counts as a step of the wall clock.
+	// minWallStep is the smallest difference between the progress of the two clocks that counts as a step of the wall
+	// clock.
 	minWallStep = 500 * time.Millisecond
-	// stepMemory is for how long after a step the list may bring starts that were stated before it, and for how long such a
-	// start may matter.
-	stepMemory = time.Minute
+	// stepRetention is how long after a step the list may still contain start times that were stated before it, and the
+	// greatest age of a start time for which the step is considered.
+	stepRetention = time.Minute
 )
 
-// wallClock follows the machine's wall clock, which all machines share and which may be set at any time, beside the time that
-// passes. Only servers' starts are stated by it.
+// wallClock compares the machine's wall clock, which is common to all machines and may be set at any time, with the
+// elapsed time. Only the start times of servers are stated on the wall clock.
 type wallClock struct {
-	offset    time.Duration // of the wall clock from the time that has passed, since the core's epoch
+	offset    time.Duration // of the wall clock from the elapsed time since the core's epoch
 	step      time.Duration // by how much it was last set
-	steppedAt time.Duration // when, by the balancer's clock
+	steppedAt time.Duration // when, on the balancer's clock
 }
 
-// observe compares the two clocks. passed is the time since epoch as the balancer's clock has it.
-func (w *wallClock) observe(passed time.Duration, now, epoch time.Time) {
-	offset := now.Round(0).Sub(epoch.Round(0)) - passed
+// observe compares the two clocks. elapsed is the time since epoch on the balancer's clock.
+func (w *wallClock) observe(elapsed time.Duration, now, epoch time.Time) {
+	offset := now.Round(0).Sub(epoch.Round(0)) - elapsed
 	if step := offset - w.offset; step.Abs() >= minWallStep {
 		w.step = step
-		w.steppedAt = passed
+		w.steppedAt = elapsed
 	}
 	w.offset = offset
 }
 
-// spanClock converts a time that was stated by the wall clock to the balancer's clock, where clock and now are the present
-// time on either; 0: long ago. It goes by the time's age, so that steps before it was stated do not matter. One that lies in
-// the future was stated before the clock was set back, and counts as now.
-func (w *wallClock) spanClock(clock time.Duration, now, stated time.Time) time.Duration {
+// toBalancerClock converts a time that was stated on the wall clock to the balancer's clock; 0: long ago. clock and now
+// are the current time on the balancer's clock and on the wall clock. The conversion uses the age of the time, so that
+// steps before it was stated have no effect. A time in the future was stated before the clock was set back, and counts
+// as now.
+func (w *wallClock) toBalancerClock(clock time.Duration, now, stated time.Time) time.Duration {
 	if stated.IsZero() {
 		return 0
 	}
 	age := now.Round(0).Sub(stated)
-	// Stated before the clock was set forward: a part of its age has not passed. Guards against a server that has just
-	// started counting as warm.
+	// If the time was stated before the clock was set forward, its age contains the step. Subtracting the step prevents
+	// a server that has just started from counting as warm.
 	sinceStep := clock - w.steppedAt
-	before := age > sinceStep && age >= w.step && age-w.step <= stepMemory
-	if w.step > 0 && sinceStep <= stepMemory && before {
+	statedBeforeStep := age > sinceStep && age >= w.step && age-w.step <= stepRetention
+	if w.step > 0 && sinceStep <= stepRetention && statedBeforeStep {
 		age -= w.step
 	}
 	return max(0, clock-max(0, age))
