--- a/internal/control/health/bench_test.go
+++ b/internal/control/health/bench_test.go
@@ -27,8 +27,8 @@
 	return table, ids
 }
 
-// BenchmarkOutcomes records outcomes at all servers in turn, one in a hundred a failure, and takes the changes
-// after each 1,000: what 100,000 outcomes per second cost.
+// BenchmarkOutcomes records outcomes at all servers in turn, one in a hundred a failure, and calls Changes after each
+// 1,000. Virtual time advances as at 100,000 outcomes per second.
 func BenchmarkOutcomes(b *testing.B) {
 	table, ids := benchmarkTable(b, 10*time.Second)
 	now := origin
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkChecks records a check of each server in turn, and takes the changes after each ten.
+// BenchmarkChecks records a check of each server in turn, and calls Changes after each ten.
 func BenchmarkChecks(b *testing.B) {
 	table, ids := benchmarkTable(b, time.Hour)
 	now := origin
--- a/internal/control/health/checks.go
+++ b/internal/control/health/checks.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// checkState is what one check has found on one server.
+// checkState is the state of one check of one server.
 type checkState struct {
 	config     int       // index of its CheckConfig
 	resultAt   time.Time // of the last result that counts; zero: none
-	successRun int       // successful results in a row
-	failureRun int       // failed results in a row
+	successRun int       // consecutive successful results
+	failureRun int       // consecutive failed results
 	down       bool
 	oper       OperState
 	admin      AdminState
@@ -21,8 +21,8 @@
 	reason     string
 }
 
-// RecordCheck takes the result of a check, given by its index in the configuration. A server that is not listed, or an
-// unknown check, is ignored.
+// RecordCheck records the result of a check, given by its index in the configuration. Results of unlisted servers and
+// unknown checks are ignored.
 func (t *Table) RecordCheck(now time.Time, id ID, check int, result CheckResult) {
 	t.advance(now)
 	i, ok := t.index[id]
@@ -33,20 +33,20 @@
 	c := server.check(check)
 	config := &t.checks[check]
 	if result.Failed && config.IgnoreFailures {
-		return // what was found before counts until its validity ends
+		return // the previous result counts until it expires
 	}
 	c.resultAt = t.now
 	c.setStates(&result)
 	c.setDown(&result, config)
-	if !c.down && !result.Failed && !config.IgnoreFailures && t.mayRevive(server) {
-		server.revivals++
+	if !c.down && !result.Failed && !config.IgnoreFailures && t.checkMayMarkReachable(server) {
+		server.checkRecoveries++
 		server.connectFailures = t.rules.MaxConnectFailures - 1
-		t.revive(i)
+		t.markReachable(i)
 	}
 	t.markDirty(i)
 }
 
-// check returns the state of a check on the server.
+// check returns the state of a check of the server, and creates it if needed.
 func (s *server) check(config int) *checkState {
 	i := slices.IndexFunc(s.checks, func(c checkState) bool { return c.config == config })
 	if i < 0 {
@@ -56,7 +56,7 @@
 	return &s.checks[i]
 }
 
-// setStates takes what a result says beside up and down. What it does not say stays.
+// setStates stores all of a result but up and down. What the result does not give is unchanged.
 func (c *checkState) setStates(result *CheckResult) {
 	if result.Reason != "" || !result.Failed {
 		c.reason = result.Reason
@@ -76,7 +76,7 @@
 	}
 }
 
-// setDown counts a result for fall or rise.
+// setDown counts a result towards CheckConfig.Fall or Rise, and sets down accordingly.
 func (c *checkState) setDown(result *CheckResult, config *CheckConfig) {
 	switch {
 	case result.Failed:
@@ -96,26 +96,26 @@
 		}
 		c.failureRun = 0
 		c.successRun++
-		// A result without an operational state does not end a state of Down that the server sent.
+		// Once the server has reported Down, only an explicit Up ends it.
 		if c.successRun >= config.Rise && (result.Oper == Up || c.oper != Down) {
 			c.down = false
 		}
 	}
 }
 
-// mayRevive reports whether a successful check may end that a server counts as unreachable: if it succeeded late enough
-// after the last connection failure. This keeps a server to which nothing is sent any more, because it was unreachable,
-// from staying so for ever. The wait doubles with each time until a part is answered.
-func (t *Table) mayRevive(s *server) bool {
-	return !s.unreachableAt.IsZero() && t.now.Sub(s.unreachableAt) >= t.doubledDelay(s.revivals)
+// checkMayMarkReachable reports whether a successful check may make an unreachable server reachable: enough time must
+// have elapsed since the last connection failure. Without checks a server to which no parts are sent, because it is
+// unreachable, would stay so forever. The delay doubles each time until a part is answered.
+func (t *Table) checkMayMarkReachable(s *server) bool {
+	return !s.unreachableAt.IsZero() && t.now.Sub(s.unreachableAt) >= t.doubledDelay(s.checkRecoveries)
 }
 
-// valid reports whether what a check found still counts.
+// valid reports whether the last result of a check still counts.
 func (t *Table) valid(check *checkState) bool {
 	return !check.resultAt.IsZero() && t.now.Sub(check.resultAt) <= t.checks[check.config].Validity
 }
 
-// hasValidCheck reports whether any check of a server has a result that still counts.
+// hasValidCheck reports whether any check of a server is valid.
 func (t *Table) hasValidCheck(s *server) bool {
 	for i := range s.checks {
 		if t.valid(&s.checks[i]) {
@@ -125,7 +125,7 @@
 	return false
 }
 
-// describe returns the name of a check with what it found and, in parentheses, its reason.
+// describe returns the name of a check, a finding of it and, in parentheses, its reason.
 func (t *Table) describe(check *checkState, finding string) string {
 	text := "check " + t.checks[check.config].Name + ": " + finding
 	if check.reason != "" {
@@ -134,7 +134,7 @@
 	return text
 }
 
-// downByChecks reports whether a valid check has a server down, and why.
+// downByChecks reports whether a server is down by a valid check, and why.
 func (t *Table) downByChecks(s *server) (down bool, reason string) {
 	for i := range s.checks {
 		check := &s.checks[i]
@@ -145,10 +145,10 @@
 	return false, ""
 }
 
-// suppressFlapping reports whether a server that is down by its checks, or not, has to stay down because they flap.
-// Each change of their result adds to a penalty that decays; from FlapSuppress on the server stays down until the
-// penalty has decayed to FlapReuse (as RFC 2439 damps routes). This protects the list from changing with every
-// check.
+// suppressFlapping reports whether a server has to stay down because the results of its checks flap; down is the
+// current result. Each change adds to a penalty that decays exponentially. From FlapSuppress on the server stays down
+// until the penalty has decayed to FlapReuse (as in the route flap damping of RFC 2439), so that the endpoint list does
+// not change with every check.
 func (t *Table) suppressFlapping(server *server, down bool) bool {
 	if elapsed := t.now.Sub(server.flapPenaltyAt); elapsed > 0 {
 		server.flapPenalty *= math.Exp2(-float64(elapsed) / float64(t.rules.FlapHalfLife))
@@ -170,9 +170,8 @@
 	return server.suppressed
 }
 
-// strongestAdmin returns the strongest of Drain and Maintenance that a check gives a server, and why. These states
-// do not age: a drain that is no longer repeated is still one, until its check says Ready. A weight of 0 drains
-// while it is valid.
+// strongestAdmin returns the stronger of Drain and Maintenance by the checks of a server, and why. These states do not
+// expire: they last until the same check reports Ready. A weight of 0 drains the server while it is valid.
 func (t *Table) strongestAdmin(server *server) (strongest AdminState, reason string) {
 	for i := range server.checks {
 		check := &server.checks[i]
@@ -193,17 +192,17 @@
 	return strongest, reason
 }
 
-// updateCheckCounts keeps the counts by which the checks as a whole are judged.
-func (t *Table) updateCheckCounts(s *server, standing checkStanding) {
-	t.checkedServers += countChange(s.standing.checked, standing.checked)
-	t.failingServers += countChange(s.standing.failing, standing.failing)
-	s.standing = standing
-	if (t.mostChecksFail() || t.suspect) && t.nextSuspicion.IsZero() {
-		t.nextSuspicion = t.now
+// updateCheckCounts updates the numbers of checked and failing servers, from which suspicion of the checks is derived.
+func (t *Table) updateCheckCounts(s *server, summary checkSummary) {
+	t.checkedServers += countChange(s.checkSummary.checked, summary.checked)
+	t.failingServers += countChange(s.checkSummary.failing, summary.failing)
+	s.checkSummary = summary
+	if (t.mostChecksFail() || t.suspect) && t.nextSuspicionUpdate.IsZero() {
+		t.nextSuspicionUpdate = t.now
 	}
 }
 
-// countChange returns what the change of one member's property adds to the number of members that have it.
+// countChange returns by how much a count changes when one member's property changes from before to after.
 func countChange(before, after bool) int {
 	switch {
 	case after && !before:
@@ -219,21 +218,21 @@
 	return float64(t.failingServers) > t.rules.PanicThreshold*float64(t.checkedServers)
 }
 
-// suspicionInterval is how often the checks are judged while most of them fail.
+// suspicionInterval is how often the checks are evaluated while most of them fail.
 const suspicionInterval = 100 * time.Millisecond
 
-// updateSuspicion judges the checks as a whole: they are suspect if most of them fail and enough of those servers have
-// answered parts just now. This protects the service from a checking system that is broken itself. It ends when most
-// checks succeed again.
+// updateSuspicion evaluates all checks together: they are suspect if most of them fail while enough of the failing
+// servers answer parts. This protects the service from a faulty checking system. The suspicion ends when most checks
+// succeed again, or when most of the failing servers are unreachable.
 func (t *Table) updateSuspicion() {
-	if t.nextSuspicion.IsZero() || t.now.Before(t.nextSuspicion) {
+	if t.nextSuspicionUpdate.IsZero() || t.now.Before(t.nextSuspicionUpdate) {
 		return
 	}
-	t.nextSuspicion = time.Time{}
+	t.nextSuspicionUpdate = time.Time{}
 	suspect := false
 	if t.mostChecksFail() {
 		suspect = t.failingChecksContradicted()
-		t.nextSuspicion = t.now.Add(suspicionInterval)
+		t.nextSuspicionUpdate = t.now.Add(suspicionInterval)
 	}
 	if suspect == t.suspect {
 		return
@@ -244,18 +243,18 @@
 	}
 }
 
-// failingChecksContradicted reports whether the servers that fail their checks work. Half of them have to answer
-// parts at first. Later a time without parts does not restore trust in the checks, but connection failures at most
-// of them do.
+// failingChecksContradicted reports whether the servers that fail their checks work. For the checks to become suspect,
+// half of these servers have to answer parts. Once suspect, they stay so without further answers, until most of these
+// servers are unreachable.
 func (t *Table) failingChecksContradicted() bool {
 	answering := 0
 	unreachable := 0
 	for _, s := range t.servers {
 		switch {
-		case s == nil || !s.standing.failing:
+		case s == nil || !s.checkSummary.failing:
 		case s.lastUnreachable.After(s.lastSuccess):
 			unreachable++
-		case t.answersCount(s):
+		case t.lastAnswerValid(s):
 			answering++
 		}
 	}
--- a/internal/control/health/checks_test.go
+++ b/internal/control/health/checks_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Failing checks take a server out of service, but not the last replica of a shard. Connection failures take that one
-// out, too.
+// Failing checks take a server out of service, but not the last replica of a shard. That one goes out of service only
+// if it is unreachable, too.
 func TestChecks_LastReplicaStaysInService(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.checks["n1"] = CheckResult{Failed: true, Reason: "status 500"}
@@ -26,7 +26,7 @@
 		}
 	}
 	if f.table.UsableReplicas(1, search) == 0 {
-		t.Error("parts are answered there, and no replica is usable")
+		t.Error("no replica of shard 1 is usable although parts are answered")
 	}
 	f.unreachable["n1"] = true
 	f.unreachable["n2"] = true
@@ -37,13 +37,13 @@
 	}
 	f.unreachable["n1"] = false
 	f.checks["n1"] = upResult
-	f.run(time.Second, 0) // no parts are sent: the check alone revives it
+	f.run(time.Second, 0) // no parts are sent: the check alone makes it reachable again
 	if f.decisions["n1"].State != InService || f.table.UsableReplicas(1, search) != 1 {
 		t.Errorf("%+v", f.decisions["n1"])
 	}
 }
 
-// All checks fail at once while parts are answered: every shard stays usable at every moment.
+// When all checks fail at once while parts are answered, every shard has a usable replica at all times.
 func TestChecks_AllFailingDoNotEmptyTheFleet(t *testing.T) {
 	f := newFleet(t, 8, 2)
 	f.run(2*time.Second, 20)
@@ -61,7 +61,7 @@
 	if !f.table.ChecksSuspect() {
 		t.Error("the checks are not suspect")
 	}
-	f.run(10*time.Second, 0) // a time without parts does not restore trust in them
+	f.run(10*time.Second, 0) // without parts the checks remain suspect
 	for _, id := range f.ids {
 		if decision := f.decisions[id]; decision.State != InService || !strings.Contains(decision.Cause, "doubted") {
 			t.Fatalf("%s: %+v", id, decision)
@@ -72,12 +72,12 @@
 	}
 	f.run(time.Second, 20)
 	if f.table.ChecksSuspect() {
-		t.Error("the checks succeed and are still suspect")
+		t.Error("the checks are still suspect although they succeed")
 	}
 }
 
-// A server that a check drains gets nothing from that call on, whatever else says up, even as the last replica of a
-// shard. The drain stays when it is no longer repeated.
+// A server that a check drains receives no parts from then on, whatever other evidence there is, even as the last
+// replica of a shard. The drain persists without being repeated, until the check reports ready.
 func TestDrain_ByCheckStaysUntilReady(t *testing.T) {
 	for name, result := range map[string]CheckResult{
 		"drain":    {Admin: Drain, Weight: -1, MaxConn: -1},
@@ -90,9 +90,9 @@
 		f.run(2*time.Second, 20)
 		f.unchecked["n1"] = true
 		f.table.RecordCheck(f.now, "n1", 0, result)
-		f.takeChanges()
+		f.applyChanges()
 		f.resetCounts()
-		if name != "weight 0" { // a weight loses its validity
+		if name != "weight 0" { // a weight expires
 			f.run(20*time.Second, 20)
 		}
 		f.run(time.Second, 20)
@@ -103,7 +103,7 @@
 		f.checks["n1"] = CheckResult{Admin: Ready, Oper: Up, Weight: 1, MaxConn: -1}
 		f.run(time.Second, 20)
 		if f.decisions["n1"].State != InService {
-			t.Errorf("%s: ready and not in service: %+v", name, f.decisions["n1"])
+			t.Errorf("%s: not in service after ready: %+v", name, f.decisions["n1"])
 		}
 	}
 }
@@ -113,16 +113,17 @@
 	f.table.UpdateEndpoints(f.now, []Server{{ID: "n3", Draining: true, Shards: []int{3, 2}}})
 	f.run(time.Second, 20)
 	if f.sent["n3"] != 0 {
-		t.Error("parts were sent to a server that the endpoint list drains")
+		t.Error("parts were sent to a server that drains by the endpoint list")
 	}
 	f.table.UpdateEndpoints(f.now, []Server{{ID: "n3", Removed: true}})
-	f.takeChanges()
+	f.applyChanges()
 	if f.decisions["n3"].State != OutOfService || f.table.Len() != 3 {
 		t.Errorf("%+v", f.decisions["n3"])
 	}
 }
 
-// A check whose result changes all the time takes the server out until it is steady, and not every change is notable.
+// A check that keeps changing its result takes the server out of service until the result is stable, and not every
+// change is notable.
 func TestChecks_FlappingIsSuppressed(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.run(time.Second, 20)
@@ -143,12 +144,12 @@
 	f.checks["n1"] = upResult
 	f.run(50*time.Second, 20)
 	if f.decisions["n1"].State != InService {
-		t.Errorf("steady and still out: %+v", f.decisions["n1"])
+		t.Errorf("still out of service with a stable result: %+v", f.decisions["n1"])
 	}
 }
 
-// A traffic fraction moves slowly to the weight that a check gives, and a limit of connections counts while it is
-// valid.
+// The traffic fraction moves gradually to the weight that a check reports, and a limit of connections counts while it
+// is valid.
 func TestTrafficFraction_MovesToTheWeight(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.run(time.Second, 20)
--- a/internal/control/health/decision.go
+++ b/internal/control/health/decision.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// How facts merge. The first row that holds decides the state; docs/health.md has the same table with reasons.
+// How evidence is merged: the first row that applies decides the state. docs/health.md has the same table with reasons.
 //
 //	endpoint list: removed                   out of service
 //	endpoint list: draining                  draining
@@ -16,50 +16,51 @@
 //	a check's weight, still valid: 0         draining
 //	checks down, and server unreachable      out of service
 //	checks down, last replica of a shard     in service, as last resort
-//	checks down, and checks suspect          as if there were none
+//	checks down, and checks suspect          as without checks
 //	checks down, or flapping                 out of service
 //	server unreachable                       in service, as last resort, with half-open requests
 //	parts of a class fail                    in service, ejected from that class, with half-open requests,
 //	                                         within the limit of its shards
 //	otherwise                                in service
 //
-// A successful check never outweighs failing parts: no row asks whether a check succeeds.
+// A successful check never outweighs failing parts: no row depends on a check's success.
 
-// fractionSteps is into how many steps traffic fractions are rounded, since each change costs an endpoint list.
+// fractionSteps is the number of steps to which traffic fractions are rounded, since each change produces a new
+// endpoint list.
 const fractionSteps = 20
 
-// assessment is the evidence on one server, as its decision needs it.
+// assessment is the evidence on one server, as input to its decision.
 type assessment struct {
-	down           bool // by its checks
-	downReason     string
-	believedDown   bool // and the checks are not suspect
-	admin          AdminState
-	adminReason    string
-	adminOut       bool // drained by the endpoint list, or drained or in maintenance by a check
-	unreachable    bool
-	answeredLately bool // has answered a part just now
+	down             bool // by its checks
+	downReason       string
+	effectiveDown    bool // down, and the checks are not suspect
+	admin            AdminState
+	adminReason      string
+	adminOut         bool // drained by the endpoint list, or drained or in maintenance by a check
+	unreachable      bool
+	answeredRecently bool // reachable, and its last answer is still valid
 }
 
-// update decides on a server anew.
+// update recomputes the decision on a server.
 func (t *Table) update(index int) {
 	server := t.servers[index]
 	assessed := t.assess(server)
-	fit := !assessed.adminOut && !assessed.believedDown && !assessed.unreachable
-	if fit != server.fit {
-		server.fit = fit
-		t.markNeighboursDirty(index)
+	available := !assessed.adminOut && !assessed.effectiveDown && !assessed.unreachable
+	if available != server.available {
+		server.available = available
+		t.markShardReplicasDirty(index)
 	}
-	outOfUse := assessed.adminOut || assessed.believedDown
+	excluded := assessed.adminOut || assessed.effectiveDown
 	for class := range server.classes {
 		server.classes[class].ejectionBlocked = false
-		if !outOfUse { // its outcomes say nothing more otherwise
+		if !excluded { // the outcomes of an excluded server are not evaluated
 			t.updateEjection(index, class)
 		}
 	}
 	decision := t.decide(index, &assessed)
 	if decision.State != InService {
 		decision.Usable = false
-		for class := range server.classes { // the caller has dropped its grants with the server
+		for class := range server.classes { // the caller drops the grants of such a server
 			server.classes[class].halfOpen = false
 		}
 	}
@@ -69,7 +70,7 @@
 	t.scheduleUpdate(index, &decision)
 }
 
-// assess collects the evidence on a server, and counts its checks.
+// assess collects the evidence on a server, and updates the counts of checked and failing servers.
 func (t *Table) assess(server *server) (assessed assessment) {
 	assessed.down, assessed.downReason = t.downByChecks(server)
 	if t.suppressFlapping(server, assessed.down) {
@@ -78,22 +79,22 @@
 	assessed.admin, assessed.adminReason = t.strongestAdmin(server)
 	assessed.adminOut = server.Draining || assessed.admin != AdminUnset
 	checked := t.hasValidCheck(server) && !assessed.adminOut
-	t.updateCheckCounts(server, checkStanding{checked: checked, failing: checked && assessed.down})
-	assessed.believedDown = assessed.down && !t.suspect
+	t.updateCheckCounts(server, checkSummary{checked: checked, failing: checked && assessed.down})
+	assessed.effectiveDown = assessed.down && !t.suspect
 	assessed.unreachable = !server.unreachableAt.IsZero()
 	if assessed.unreachable && assessed.down && t.now.Sub(server.unreachableAt) > t.rules.MaxHalfOpenDelay {
-		assessed.unreachable = false // too long ago: parts may be sent there again if it is the last replica
+		assessed.unreachable = false // too long ago: as the last replica it may receive parts again
 	}
-	assessed.answeredLately = !assessed.unreachable && !server.lastSuccess.IsZero() && t.answersCount(server)
+	assessed.answeredRecently = !assessed.unreachable && !server.lastSuccess.IsZero() && t.lastAnswerValid(server)
 	return assessed
 }
 
-// answersCount reports whether the last answer of a server still shows that it works.
-func (t *Table) answersCount(s *server) bool {
+// lastAnswerValid reports whether the last answer of a server still counts as evidence that it works.
+func (t *Table) lastAnswerValid(s *server) bool {
 	return t.now.Sub(s.lastSuccess) <= t.rules.AnswerValidity
 }
 
-// decide applies the table above, apart from traffic limits.
+// decide applies the table above. It sets neither the traffic fraction nor the limit of parts in flight.
 func (t *Table) decide(index int, assessed *assessment) Decision {
 	server := t.servers[index]
 	switch {
@@ -103,25 +104,25 @@
 		return Decision{State: OutOfService, Cause: assessed.adminReason}
 	case assessed.admin == Drain:
 		return Decision{State: Draining, Cause: assessed.adminReason}
-	case assessed.believedDown && assessed.unreachable:
+	case assessed.effectiveDown && assessed.unreachable:
 		return Decision{State: OutOfService, Cause: assessed.downReason + "; and parts find no connection"}
-	case assessed.believedDown:
+	case assessed.effectiveDown:
 		if shard, sole := t.soleShard(index); sole {
 			return Decision{
 				EjectedClasses: AllClasses,
 				Cause:          fmt.Sprintf("%s; but it holds block %d alone", assessed.downReason, shard),
-				Usable:         assessed.answeredLately,
-				Contradictory:  assessed.answeredLately,
+				Usable:         assessed.answeredRecently,
+				Contradictory:  assessed.answeredRecently,
 			}
 		}
-		return Decision{State: OutOfService, Cause: assessed.downReason, Contradictory: assessed.answeredLately}
+		return Decision{State: OutOfService, Cause: assessed.downReason, Contradictory: assessed.answeredRecently}
 	case assessed.unreachable:
 		return Decision{EjectedClasses: AllClasses, Cause: "parts find no connection"}
 	}
 	return t.decideByOutcomes(server, assessed)
 }
 
-// decideByOutcomes decides on a server that is not out of use for another reason.
+// decideByOutcomes decides on a server that no other evidence excludes.
 func (t *Table) decideByOutcomes(server *server, assessed *assessment) Decision {
 	decision := Decision{Usable: true}
 	var ejected []string
@@ -147,18 +148,18 @@
 	return decision
 }
 
-// soleShard returns a shard of a server of which no other replica is fit; sole is false if there is none.
+// soleShard returns a shard of a server of which no other replica is available; sole is false if there is none.
 func (t *Table) soleShard(index int) (shard int, sole bool) {
-	isFitOther := func(other int) bool { return other != index && t.servers[other].fit }
+	isOtherAvailable := func(other int) bool { return other != index && t.servers[other].available }
 	for _, shard := range t.servers[index].Shards {
-		if !slices.ContainsFunc(t.replicas[shard], isFitOther) {
+		if !slices.ContainsFunc(t.replicas[shard], isOtherAvailable) {
 			return shard, true
 		}
 	}
 	return 0, false
 }
 
-// publish notes a decision, and adds a change if it differs or a half-open request is granted.
+// publish stores a decision, and adds a change if it differs or a half-open request is granted.
 func (t *Table) publish(server *server, decision *Decision, granted uint64) {
 	old := &server.decision
 	notable := !server.decided || decision.differsNotably(old)
@@ -175,7 +176,7 @@
 	server.decided = true
 }
 
-// differsNotably reports whether two decisions differ in more than the traffic fraction or what may be expected.
+// differsNotably reports whether two decisions differ in more than TrafficFraction, Usable and Contradictory.
 func (d *Decision) differsNotably(other *Decision) bool {
 	return d.State != other.State || d.EjectedClasses != other.EjectedClasses || d.Cause != other.Cause ||
 		d.MaxInFlight != other.MaxInFlight
--- a/internal/control/health/ejection.go
+++ b/internal/control/health/ejection.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// classState is how a server does with one class of parts.
+// classState is the evidence on a server from the parts of one class.
 type classState struct {
 	outcomeWindow
 	ejected         bool
-	ejectionBlocked bool // it would be ejected if its shards had enough other replicas
+	ejectionBlocked bool // it fails too often, but its shards lack other replicas
 	ejectedAt       time.Time
-	ejections       int       // repeated, each soon after the last return
-	readmittedAt    time.Time // last return
+	ejections       int       // consecutive ejections, each soon after the previous readmission
+	readmittedAt    time.Time // time of the last readmission
 
-	halfOpen       bool // a half-open request is granted, and may be in flight
-	halfOpenAt     time.Time
-	nextHalfOpen   time.Time // not before
-	setbackAt      time.Time // of the last failed half-open request, or the ejection
-	partsAtSetback float64   // Table.partsEnded of the class by then
-	successRun     int       // successful half-open requests in a row
+	halfOpen             bool // a half-open request is granted, and may be in flight
+	halfOpenAt           time.Time
+	nextHalfOpen         time.Time // earliest time of the next grant
+	halfOpenResetAt      time.Time // time of the last failed half-open request, or of the ejection
+	partsAtHalfOpenReset float64   // Table.partsEnded of the class at that time
+	successRun           int       // consecutive successful half-open requests
 }
 
 const (
-	// halfOpenPollInterval is how often a server is looked at while its half-open requests wait for parts elsewhere.
+	// halfOpenPollInterval is how often a server is updated while half-open requests wait for parts elsewhere.
 	halfOpenPollInterval = 50 * time.Millisecond
-	// repeatEjectionFactor times MaxHalfOpenDelay after a return, another ejection still counts as repeated.
+	// An ejection within repeatEjectionFactor times MaxHalfOpenDelay after a readmission counts as repeated.
 	repeatEjectionFactor = 10
-	// Shifts by more would make the delays of repeated ejections longer than any limit, or overflow them.
+	// More doublings would exceed every limit on the delay of a repeated ejection, or overflow it.
 	maxDelayDoublings              = 10
 	maxNonIdempotentDelayDoublings = 4
-	// nonIdempotentReturnSuccesses are enough to readmit a non-idempotent class, since its requests are rare.
+	// nonIdempotentReturnSuccesses caps ReturnSuccesses for non-idempotent classes, whose requests are rare.
 	nonIdempotentReturnSuccesses = 2
 )
 
-// updateEjection ejects a server that may get requests from a class if it fails too often, or notes in ejectionBlocked
-// that it must not.
+// updateEjection ejects a server from a class if it fails too often, or sets ejectionBlocked if its shards lack other
+// replicas.
 func (t *Table) updateEjection(index, class int) {
 	server := t.servers[index]
 	classState := &server.classes[class]
@@ -44,8 +44,8 @@
 		return
 	}
 	t.ejectClass(index, class)
-	// Requests that must not run twice are not risked where other classes fail, even if they have succeeded so far:
-	// they are rare, and it would take long until they show that they fail, too.
+	// Eject non-idempotent classes too, even if they have succeeded so far: their requests are rare, so it would take
+	// long until their own failure rate shows the fault.
 	for other := range server.classes {
 		if t.rules.nonIdempotent(other) && !server.classes[other].ejected && t.mayEject(index, other) {
 			t.ejectClass(index, other)
@@ -53,7 +53,7 @@
 	}
 }
 
-// doubledDelay is HalfOpenDelay, doubled so many times, but MaxHalfOpenDelay at most.
+// doubledDelay returns HalfOpenDelay doubled the given number of times, at most MaxHalfOpenDelay.
 func (t *Table) doubledDelay(times int) time.Duration {
 	return min(t.rules.HalfOpenDelay<<min(times, maxDelayDoublings), t.rules.MaxHalfOpenDelay)
 }
@@ -74,23 +74,25 @@
 	classState.ejectedAt = t.now
 	classState.halfOpen = false
 	classState.nextHalfOpen = t.now.Add(delay)
-	t.setBack(classState, class)
-	t.markNeighboursDirty(index)
+	t.resetHalfOpen(classState, class)
+	t.markShardReplicasDirty(index)
 }
 
-// setBack notes an ejection or a failed half-open request: successes count anew, and so do parts elsewhere.
-func (t *Table) setBack(c *classState, class int) {
+// resetHalfOpen restarts the counts of successful half-open requests and of parts elsewhere, after an ejection or a
+// failed half-open request.
+func (t *Table) resetHalfOpen(c *classState, class int) {
 	c.successRun = 0
-	c.setbackAt = t.now
-	c.partsAtSetback = t.partsEnded[class]
+	c.halfOpenResetAt = t.now
+	c.partsAtHalfOpenReset = t.partsEnded[class]
 }
 
-// nonIdempotentDelay is the time to the next half-open request of a class of which no part may run twice.
+// nonIdempotentDelay returns the delay to the next half-open request of a non-idempotent class.
 func (t *Table) nonIdempotentDelay(c *classState) time.Duration {
 	return t.rules.NonIdempotentDelay << min(c.ejections, maxNonIdempotentDelayDoublings)
 }
 
-// mayEject reports whether each shard of a server keeps enough replicas for a class without it.
+// mayEject reports whether each shard of a server would still have enough replicas if the server were ejected from a
+// class.
 func (t *Table) mayEject(index, class int) bool {
 	for _, shard := range t.servers[index].Shards {
 		all := 0
@@ -101,7 +103,7 @@
 				continue
 			}
 			all++
-			if other != index && server.fit && !server.classes[class].ejected {
+			if other != index && server.available && !server.classes[class].ejected {
 				remaining++
 			}
 		}
@@ -112,8 +114,8 @@
 	return true
 }
 
-// halfOpenEnded takes the outcome of a part that was sent after the ejection.
-func (t *Table) halfOpenEnded(index, class int, outcome Outcome) {
+// recordHalfOpenOutcome records the outcome of a part that was sent after the ejection.
+func (t *Table) recordHalfOpenOutcome(index, class int, outcome Outcome) {
 	classState := &t.servers[index].classes[class]
 	nonIdempotent := t.rules.nonIdempotent(class)
 	classState.halfOpen = false
@@ -131,21 +133,22 @@
 		}
 	case Neutral:
 	default:
-		t.setBack(classState, class)
+		t.resetHalfOpen(classState, class)
 		if nonIdempotent {
 			classState.nextHalfOpen = t.now.Add(t.nonIdempotentDelay(classState))
 		}
 	}
 }
 
-// readmit ends a server's ejection from a class. It begins without failures and with a small fraction of its traffic.
-// Non-idempotent classes get no half-open requests while an idempotent class is ejected: they are readmitted with it.
+// readmit ends a server's ejection from a class, clears the class's outcomes and starts the recovery ramp. The
+// readmission of an idempotent class includes the ejected non-idempotent classes, since these have no half-open
+// requests while an idempotent class is ejected.
 func (t *Table) readmit(index, class int) {
 	server := t.servers[index]
 	for other := range server.classes {
 		classState := &server.classes[other]
-		withIt := classState.ejected && t.rules.nonIdempotent(other) && !t.rules.nonIdempotent(class)
-		if other != class && !withIt {
+		readmitTogether := classState.ejected && t.rules.nonIdempotent(other) && !t.rules.nonIdempotent(class)
+		if other != class && !readmitTogether {
 			continue
 		}
 		classState.ejected = false
@@ -155,10 +158,11 @@
 		own.clear()
 	}
 	server.recoveryStart = t.now
-	t.markNeighboursDirty(index)
+	t.markShardReplicasDirty(index)
 }
 
-// grantHalfOpen grants the half-open requests that are due by a decision: one part of each such class (bit c: class c).
+// grantHalfOpen grants the half-open requests that are due, one part for each class, and returns their classes (bit c:
+// class c).
 func (t *Table) grantHalfOpen(server *server, decision *Decision) (granted uint64) {
 	if decision.State != InService || decision.EjectedClasses == 0 {
 		return 0
@@ -167,7 +171,7 @@
 	grantValidity := repeatEjectionFactor * t.rules.MaxHalfOpenDelay
 	for class := range server.classes {
 		classState := &server.classes[class]
-		// A grant that was not used, for whatever reason, is repeated in the end.
+		// A grant may remain unused; it expires and is then repeated.
 		pending := classState.halfOpen && t.now.Sub(classState.halfOpenAt) < grantValidity
 		if pending || t.now.Before(classState.nextHalfOpen) {
 			continue
@@ -186,17 +190,17 @@
 }
 
 // mayHalfOpen reports whether an ejected class may have a half-open request. A non-idempotent class may not while an
-// idempotent one is ejected, too: it is readmitted with that class. After a failed half-open request the next one waits
-// until enough parts of the class have ended at other servers, or for MaxHalfOpenDelay, so that half-open requests stay
-// a small fraction of all parts.
+// idempotent one is ejected: it is readmitted with that class. After a failed half-open request the next one waits
+// until HalfOpenTraffic parts of the class have ended, or for MaxHalfOpenDelay, so that half-open requests stay a small
+// fraction of all parts.
 func (t *Table) mayHalfOpen(s *server, class int) bool {
 	if t.rules.nonIdempotent(class) {
 		return !t.idempotentClassEjected(s)
 	}
 	c := &s.classes[class]
-	enoughElsewhere := t.partsEnded[class]-c.partsAtSetback >= t.rules.HalfOpenTraffic
-	waitedLongest := t.now.Sub(c.setbackAt) >= t.rules.MaxHalfOpenDelay
-	return c.successRun > 0 || enoughElsewhere || waitedLongest
+	enoughParts := t.partsEnded[class]-c.partsAtHalfOpenReset >= t.rules.HalfOpenTraffic
+	maxDelayElapsed := t.now.Sub(c.halfOpenResetAt) >= t.rules.MaxHalfOpenDelay
+	return c.successRun > 0 || enoughParts || maxDelayElapsed
 }
 
 func (t *Table) idempotentClassEjected(s *server) bool {
--- a/internal/control/health/ejection_test.go
+++ b/internal/control/health/ejection_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Successful checks do not keep parts at a server that fails them: its share of the parts falls under 2%, and it
-// returns within 10 s after the fault has ended.
+// A server that fails its parts is ejected although its checks succeed: its share of the parts falls under 2%, and it
+// is readmitted within 10 s after the fault has ended.
 func TestEjection_SuccessfulChecksDoNotOutweighFailingParts(t *testing.T) {
 	for _, rate := range []float64{10, 40, 200} {
 		f := newFleet(t, 4, 2)
@@ -17,7 +17,7 @@
 		f.resetCounts()
 		f.run(60*time.Second, rate)
 		if share := f.trafficShare("n1"); share > 0.02 {
-			t.Errorf("rate %v: the failing server has %.1f%% of the parts", rate, 100*share)
+			t.Errorf("rate %v: the failing server has %.1f%% of the parts, want at most 2%%", rate, 100*share)
 		}
 		const bothClasses = 1<<search | 1<<correction
 		decision := f.decisions["n1"]
@@ -36,12 +36,12 @@
 		f.resetCounts()
 		f.run(10*time.Second, rate)
 		if share := f.trafficShare("n1"); share < 0.15 {
-			t.Errorf("rate %v: returned with %.1f%% of the parts", rate, 100*share)
+			t.Errorf("rate %v: after readmission the server has %.1f%% of the parts", rate, 100*share)
 		}
 	}
 }
 
-// No correction is sent as a half-open request while an idempotent class can tell.
+// No correction is granted as a half-open request while an idempotent class is ejected, too.
 func TestEjection_HalfOpenRequestsAreIdempotent(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.run(3*time.Second, 50)
@@ -54,11 +54,12 @@
 		}
 	}
 	if f.halfOpen["n2"] == 0 && f.sent["n2"] == 0 {
-		t.Error("no half-open request at all")
+		t.Error("no half-open request was granted")
 	}
 }
 
-// Corrections are rare. Those that succeeded before a fault do not keep the class at the server once another shows it.
+// Corrections are rare, so those that succeeded before a fault outweigh its first failures. They are ejected together
+// with the class that shows the fault.
 func TestEjection_NonIdempotentClassIsEjectedWithTheOthers(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.run(20*time.Second, 40)
@@ -75,7 +76,7 @@
 	}
 }
 
-// Ejections stop where a shard would keep too few replicas.
+// A server is not ejected if one of its shards would have too few replicas left.
 func TestEjection_KeepsEnoughReplicas(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	f.run(3*time.Second, 50)
@@ -87,7 +88,7 @@
 		if f.decisions[id].EjectedClasses&1 == 1 {
 			ejected++
 		} else if !strings.Contains(f.decisions[id].Cause, "no others") || f.table.UsableReplicas(0, search) != 0 {
-			t.Errorf("%s: %+v, %d usable", id, f.decisions[id], f.table.UsableReplicas(0, search))
+			t.Errorf("%s: decision %+v, %d usable replicas", id, f.decisions[id], f.table.UsableReplicas(0, search))
 		}
 	}
 	if ejected != 1 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// A fault that all servers have ejects none of them.
+// A fault common to all servers ejects none of them.
 func TestEjection_CommonFaultEjectsNone(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	f.run(3*time.Second, 50)
@@ -105,12 +106,12 @@
 	f.run(10*time.Second, 50)
 	for _, id := range f.ids {
 		if f.decisions[id].EjectedClasses != 0 {
-			t.Errorf("%s was ejected although all fail alike", id)
+			t.Errorf("%s was ejected although all servers fail alike", id)
 		}
 	}
 }
 
-// A server that is unreachable for parts returns by a half-open request, without any check.
+// An unreachable server becomes reachable again by a half-open request, without any check.
 func TestUnreachableServer_ReturnsByAHalfOpenRequest(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for _, id := range f.ids {
@@ -123,11 +124,11 @@
 	f.run(20*time.Second, 50)
 	decision := f.decisions["n2"]
 	if decision.EjectedClasses != AllClasses || decision.Usable || f.trafficShare("n2") > 0.02 {
-		t.Errorf("%+v, %.1f%% of the parts", decision, 100*f.trafficShare("n2"))
+		t.Errorf("unreachable: decision %+v, %.1f%% of the parts", decision, 100*f.trafficShare("n2"))
 	}
 	f.unreachable["n2"] = false
 	f.run(2*time.Second, 50)
 	if f.decisions["n2"].EjectedClasses != 0 || !f.decisions["n2"].Usable {
-		t.Errorf("%+v", f.decisions["n2"])
+		t.Errorf("reachable again: decision %+v", f.decisions["n2"])
 	}
 }
--- a/internal/control/health/facts.go
+++ b/internal/control/health/facts.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Fact is one piece of evidence, for status pages and scripts.
+// Fact is one piece of evidence, as status pages and scripts show it.
 type Fact struct {
 	Source    string        `json:"source"`
 	Finding   string        `json:"says"`
-	Age       time.Duration `json:"age_ns"`   // noAge: it does not age
-	Validity  time.Duration `json:"valid_ns"` // how long it counts; 0: until it is taken back
-	Effective bool          `json:"counts"`   // in the decision
+	Age       time.Duration `json:"age_ns"`   // noAge if it does not age
+	Validity  time.Duration `json:"valid_ns"` // how long it counts; 0: until it is replaced
+	Effective bool          `json:"counts"`   // whether it affects the decision
 }
 
 // noAge is the Fact.Age of a fact that does not age.
@@ -47,10 +47,10 @@
 	return facts
 }
 
-// minOutcomesShown is how many decayed outcomes of a class are worth a fact.
+// minOutcomesShown is the decayed number of outcomes from which Facts includes a class.
 const minOutcomesShown = 0.5
 
-// endpointFact is what the endpoint list says of the server.
+// endpointFact returns the server's state in the endpoint list as a fact.
 func (s *server) endpointFact() Fact {
 	fact := Fact{Source: "roster", Finding: "listed", Age: noAge, Effective: true}
 	if s.Draining {
@@ -59,7 +59,7 @@
 	return fact
 }
 
-// checkFact is what a check has found.
+// checkFact returns the state of a check as a fact.
 func (t *Table) checkFact(check *checkState) Fact {
 	config := &t.checks[check.config]
 	fact := Fact{
@@ -88,7 +88,7 @@
 	return fact
 }
 
-// condition says in a word or two what the check's results amount to.
+// condition summarizes the check's results in a word or two.
 func (c *checkState) condition() string {
 	switch {
 	case c.resultAt.IsZero():
@@ -101,7 +101,7 @@
 	return "up"
 }
 
-// classFact is how parts of a class have ended.
+// classFact returns the outcomes of a class as a fact.
 func (t *Table) classFact(class int, c *classState) Fact {
 	finding := percent(c.failureRate()) + " of parts fail"
 	if c.ejected {
@@ -116,5 +116,5 @@
 	}
 }
 
-// percent formats a fraction for people.
+// percent formats a fraction as a whole percentage.
 func percent(fraction float64) string { return fmt.Sprintf("%.0f%%", fraction*100) }
--- a/internal/control/health/fleet_test.go
+++ b/internal/control/health/fleet_test.go
@@ -9,14 +9,15 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The request classes of the tests. Corrections must not run twice.
+// The request classes of the tests. Corrections are non-idempotent.
 const search, correction = 0, 1
 
-// upResult is the result of a successful check that limits nothing.
+// upResult is the result of a successful check without a weight or a limit of connections.
 var upResult = CheckResult{Oper: Up, Weight: -1, MaxConn: -1}
 
-// fleet simulates servers in virtual time: parts are placed by the decisions, as the balancer would, and end as the
-// servers are set to. There are as many shards as servers, each with a number of replicas on consecutive servers.
+// fleet simulates servers in virtual time: parts are sent according to the table's decisions, as by the balancer, and
+// their outcomes follow the configured faults. There are as many shards as servers, each with a number of replicas on
+// consecutive servers.
 type fleet struct {
 	table       *Table
 	now         time.Time
@@ -25,11 +26,11 @@
 	replicas    int                // of each shard
 	failureRate map[ID]float64     // of parts
 	unreachable map[ID]bool        // connections fail
-	halfOpen    map[ID]uint64      // grants that were not used yet
+	halfOpen    map[ID]uint64      // granted classes that have not been used
 	sent        map[ID]int         // parts, since resetCounts
 	notable     []string           // notable changes, since resetCounts
-	checks      map[ID]CheckResult // what the check of each server finds, every checkInterval
-	unchecked   map[ID]bool        // no check is made
+	checks      map[ID]CheckResult // result of the check of each server, every checkInterval
+	unchecked   map[ID]bool        // the server is not checked
 	decisions   map[ID]Decision
 }
 
@@ -70,12 +71,12 @@
 		f.checks[id] = upResult
 	}
 	table.ReplaceEndpoints(f.now, list)
-	f.takeChanges()
+	f.applyChanges()
 	return f
 }
 
-// takeChanges lets the table decide, and follows its decisions from then on.
-func (f *fleet) takeChanges() {
+// applyChanges calls Changes and applies the decisions to the parts sent later.
+func (f *fleet) applyChanges() {
 	for _, change := range f.table.Changes(f.now) {
 		f.decisions[change.ID] = change.Decision
 		f.halfOpen[change.ID] |= change.HalfOpenClasses
@@ -87,8 +88,8 @@
 	}
 }
 
-// sendPart sends one part of a class to a replica of a shard, as the balancer does: a half-open request first, else
-// to a server that is not ejected, else to one that is.
+// sendPart sends one part of a class to a replica of a shard, as the balancer does: as a half-open request if one is
+// granted, else to a server that is not ejected, else to one that is.
 func (f *fleet) sendPart(shard, class int) {
 	var candidates, lastResorts []ID
 	for j := range f.replicas {
@@ -126,7 +127,8 @@
 	f.table.RecordOutcome(f.now, id, class, outcome, f.now)
 }
 
-// run lets time pass, with a rate of searches' parts per second on each shard, and a quarter of that of corrections.
+// run advances time by a duration and sends to each shard parts of searches at a rate per second, and of corrections at
+// a quarter of it.
 func (f *fleet) run(duration time.Duration, rate float64) {
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(tick) {
 		if f.now.Sub(origin)%checkInterval == 0 {
@@ -140,7 +142,7 @@
 				f.sendPart(shard, correction)
 			}
 		}
-		f.takeChanges()
+		f.applyChanges()
 	}
 }
 
--- a/internal/control/health/limits.go
+++ b/internal/control/health/limits.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// recoveryMinFraction is the fraction of its traffic with which a server begins after its return.
+	// recoveryMinFraction is the traffic fraction of a server right after it is readmitted.
 	recoveryMinFraction = 0.25
-	// degradedFraction is that of a server that calls itself degraded. Envoy would not use it where others have
-	// capacity.
+	// degradedFraction is the traffic fraction of a server that reports itself as degraded. Envoy sends to such a
+	// server only if the others lack capacity.
 	degradedFraction = 0.25
-	// fallSpeed is how many times faster than it rises a fraction falls.
-	fallSpeed = 3
+	// fallSpeedFactor is how many times faster a traffic fraction falls than it rises.
+	fallSpeedFactor = 3
 )
 
-// nextFraction moves a server's traffic fraction towards its target, and after a return up from recoveryMinFraction.
+// nextFraction moves a server's traffic fraction towards its target. After a readmission the fraction is limited to a
+// ramp that begins at recoveryMinFraction.
 func (t *Table) nextFraction(server *server) float64 {
 	target := t.targetFraction(server)
 	step := float64(t.now.Sub(server.fractionAt)) / float64(t.rules.WeightRiseTime)
@@ -24,13 +25,13 @@
 	case target > server.fraction:
 		server.fraction = min(target, server.fraction+step)
 	default:
-		server.fraction = max(target, server.fraction-fallSpeed*step)
+		server.fraction = max(target, server.fraction-fallSpeedFactor*step)
 	}
 	return server.fraction
 }
 
-// advanceRecovery returns the traffic fraction that a server may have so soon after its return; recovering is false
-// if it has recovered by now.
+// advanceRecovery returns the maximum traffic fraction of a server that was readmitted recently; recovering is false
+// once the ramp is complete.
 func (t *Table) advanceRecovery(server *server) (limit float64, recovering bool) {
 	if server.recoveryStart.IsZero() {
 		return 1, false
@@ -43,7 +44,7 @@
 	return recoveryMinFraction + (1-recoveryMinFraction)*max(0, progress), true
 }
 
-// targetFraction returns the smallest traffic fraction that a server's valid checks give it.
+// targetFraction returns the smallest traffic fraction by a server's valid checks.
 func (t *Table) targetFraction(server *server) float64 {
 	target := 1.0
 	for i := range server.checks {
@@ -61,7 +62,7 @@
 	return target
 }
 
-// maxInFlight returns the smallest limit of parts in flight that a server's valid checks give it; 0: none.
+// maxInFlight returns the smallest limit of parts in flight by a server's valid checks; 0 if there is none.
 func (t *Table) maxInFlight(s *server) (limit int) {
 	for i := range s.checks {
 		check := &s.checks[i]
--- a/internal/control/health/outcomes.go
+++ b/internal/control/health/outcomes.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// outcomeWindow is a failure rate over a time window with exponential decay.
+// outcomeWindow counts successes and failures with exponential decay.
 type outcomeWindow struct {
 	successes float64 // decayed count
 	failures  float64 // decayed count
 	updatedAt time.Time
 }
 
-// decay lets the counts decay up to now.
+// decay applies the decay up to now.
 func (w *outcomeWindow) decay(now time.Time, halfLife time.Duration) {
 	elapsed := now.Sub(w.updatedAt)
 	if elapsed <= 0 {
@@ -26,23 +26,23 @@
 
 func (w *outcomeWindow) total() float64 { return w.successes + w.failures }
 
-// failureRate is the fraction of failures; 0 if there are no outcomes.
+// failureRate returns the fraction of failures; 0 if there are no outcomes.
 func (w *outcomeWindow) failureRate() float64 { return w.failures / max(1e-9, w.total()) }
 
-// subtract takes out the counts of another window that were added to this one, too.
+// subtract removes the counts of another window, which are included in this one.
 func (w *outcomeWindow) subtract(other *outcomeWindow) {
 	w.successes = max(0, w.successes-other.successes)
 	w.failures = max(0, w.failures-other.failures)
 }
 
-// clear forgets the outcomes.
+// clear resets the counts.
 func (w *outcomeWindow) clear() {
 	w.successes = 0
 	w.failures = 0
 }
 
-// RecordOutcome takes the end of an attempt of a real part of a class, which was sent at a time. A server that is not
-// listed, or an unknown class, is ignored.
+// RecordOutcome records the outcome of an attempt, sent at the given time, of a part of a class. Outcomes of unlisted
+// servers and unknown classes are ignored.
 func (t *Table) RecordOutcome(now time.Time, id ID, class int, outcome Outcome, sent time.Time) {
 	t.advance(now)
 	i, ok := t.index[id]
@@ -61,7 +61,7 @@
 	server := t.servers[i]
 	classState := &server.classes[class]
 	if classState.ejected && !sent.Before(classState.ejectedAt) {
-		t.halfOpenEnded(i, class, outcome)
+		t.recordHalfOpenOutcome(i, class, outcome)
 	} else if !server.unreachableAt.IsZero() && classState.halfOpen && outcome != Success {
 		classState.halfOpen = false
 		classState.nextHalfOpen = t.now.Add(t.rules.HalfOpenDelay)
@@ -69,7 +69,7 @@
 	}
 }
 
-// windows returns the outcomes of a class at a server and at all servers, decayed to now.
+// windows returns the outcomes of a class at one server and at all servers, decayed to now.
 func (t *Table) windows(s *server, class int) (own, fleet *outcomeWindow) {
 	own = &s.classes[class].outcomeWindow
 	fleet = &t.fleet[class]
@@ -84,11 +84,11 @@
 	own.successes++
 	fleet.successes++
 	server.connectFailures = 0
-	server.revivals = 0
+	server.checkRecoveries = 0
 	if !server.unreachableAt.IsZero() {
-		t.revive(i)
+		t.markReachable(i)
 	}
-	if t.now.Sub(server.lastSuccess) > t.rules.AnswerValidity/2 { // whether it is usable may depend on it
+	if t.now.Sub(server.lastSuccess) > t.rules.AnswerValidity/2 { // Usable may depend on the last answer
 		t.markDirty(i)
 	}
 	server.lastSuccess = t.now
@@ -118,8 +118,8 @@
 	server.lastUnreachable = t.now
 }
 
-// revive ends that a server counts as unreachable.
-func (t *Table) revive(i int) {
+// markReachable makes an unreachable server reachable again, and starts the recovery ramp.
+func (t *Table) markReachable(i int) {
 	server := t.servers[i]
 	server.unreachableAt = time.Time{}
 	server.recoveryStart = t.now
@@ -130,8 +130,9 @@
 	t.markDirty(i)
 }
 
-// failsTooOften reports whether a server's failure rate of a class ejects it: by its lower confidence bound, so that a
-// few unlucky parts do not count, and compared with the other servers, so that a fault that all suffer ejects none.
+// failsTooOften reports whether a server's failure rate in a class is high enough for an ejection. It uses the lower
+// confidence bound of the rate, so that a few failed parts do not eject a server, and compares it with the rate of the
+// other servers, so that a fault common to all ejects none.
 func (t *Table) failsTooOften(server *server, class int) bool {
 	own, fleet := t.windows(server, class)
 	if own.total() < t.rules.MinOutcomes {
@@ -148,11 +149,12 @@
 	return rate >= t.rules.EjectFailureRate && rate >= peerLimit
 }
 
-// maxPeerLimit is the failure rate that is enough for an ejection however many parts fail at the other servers.
+// maxPeerLimit caps the failure rate that EjectPeerRatio requires, so that a server can be ejected however many parts
+// fail at the others.
 const maxPeerLimit = 1 - 1e-9
 
-// wilsonLowerBound returns the lower end of the Wilson score interval of failures out of n, one-sided at 95%
-// (Wilson 1927).
+// wilsonLowerBound returns the lower bound of the Wilson score interval (Wilson 1927) for failures out of n, one-sided
+// at 95%.
 func wilsonLowerBound(failures, n float64) float64 {
 	const z = 1.645 // standard normal quantile of 95%
 	if n <= 0 {
--- a/internal/control/health/rules.go
+++ b/internal/control/health/rules.go
@@ -6,57 +6,58 @@
 	"time"
 )
 
-// CheckConfig is one health check as the operator configured it.
+// CheckConfig is the configuration of one health check.
 type CheckConfig struct {
 	Name           string
-	Fall           int           // failed checks in a row that take a server down, at least 1
-	Rise           int           // successful ones in a row that bring it back, at least 1
-	Validity       time.Duration // how long a result counts. Administrative states stay until the check changes them.
-	IgnoreFailures bool          // failed checks are ignored: only states that the server sends count
+	Fall           int           // consecutive failures after which a server is down, at least 1
+	Rise           int           // consecutive successes after which it is up again, at least 1
+	Validity       time.Duration // how long a result counts; administrative states count until the check changes them
+	IgnoreFailures bool          // only states that the server sends count, failed checks do not
 }
 
 func (c CheckConfig) validate() error {
 	if c.Name == "" || c.Fall < 1 || c.Rise < 1 || c.Validity <= 0 {
-		return fmt.Errorf("check %q: it needs a name, fall and rise of at least 1, and a time of validity", c.Name)
+		return fmt.Errorf("check %q: fall %d, rise %d, validity %v: must have a name, fall and rise of at least 1,"+
+			" and a positive validity", c.Name, c.Fall, c.Rise, c.Validity)
 	}
 	return nil
 }
 
-// maxClasses is the largest number of classes. Each has a bit of a uint64; all 64 bits together are AllClasses.
+// maxClasses is the maximum number of classes. Each class has a bit of a uint64, and all 64 bits set is AllClasses.
 const maxClasses = 63
 
 // Rules are the parameters by which evidence is merged. Zero values are not defaults; see Defaults.
 type Rules struct {
 	Classes       int    // number of request classes, 1 to 63
-	NonIdempotent uint64 // bit c: no part of class c may run twice, so none is risked as a half-open request
+	NonIdempotent uint64 // bit c: class c is non-idempotent; its parts are not risked as half-open requests
 
 	// Ejection by outcomes.
 	OutcomeHalfLife    time.Duration // half-life of outcomes in a class's failure rate
-	MinOutcomes        float64       // decayed outcomes from which a failure rate counts
-	EjectFailureRate   float64       // failure rate, as its lower confidence bound, that ejects
-	EjectPeerRatio     float64       // and it has to be this many times the rate of the other servers
-	MaxConnectFailures int           // connection failures in a row that make a server unreachable
-	MaxEjectedFraction float64       // of a shard's replicas that may be ejected at once
-	AnswerValidity     time.Duration // how long an answer shows that a server works
+	MinOutcomes        float64       // decayed number of outcomes below which a failure rate is ignored
+	EjectFailureRate   float64       // lower confidence bound of the failure rate from which a server is ejected
+	EjectPeerRatio     float64       // minimum ratio of that bound to the failure rate of the other servers
+	MaxConnectFailures int           // consecutive connection failures after which a server is unreachable
+	MaxEjectedFraction float64       // maximum fraction of a shard's replicas ejected at the same time
+	AnswerValidity     time.Duration // how long an answer counts as evidence that a server works
 
 	// Half-open requests and recovery.
-	HalfOpenDelay      time.Duration // from an ejection to the first half-open request; doubles if repeated
+	HalfOpenDelay      time.Duration // from an ejection to the first half-open request; doubles with each repetition
 	HalfOpenInterval   time.Duration // from a successful half-open request to the next
-	MaxHalfOpenDelay   time.Duration // the longest from a failed half-open request to the next
-	HalfOpenTraffic    float64       // parts of the class elsewhere for each failed one, within MaxHalfOpenDelay
-	NonIdempotentDelay time.Duration // to a half-open request of a non-idempotent class, if no other class can tell
-	ReturnSuccesses    int           // successful half-open requests in a row that readmit a server
-	RecoveryRamp       time.Duration // from a quarter of the traffic to all of it, after a return
-	WeightRiseTime     time.Duration // for a traffic fraction to rise from 0 to 1; it falls three times as fast
+	MaxHalfOpenDelay   time.Duration // maximum delay from a failed half-open request to the next
+	HalfOpenTraffic    float64       // parts of the class elsewhere after a failed one, unless MaxHalfOpenDelay elapses
+	NonIdempotentDelay time.Duration // to a half-open request of a non-idempotent class, if only such are ejected
+	ReturnSuccesses    int           // consecutive successful half-open requests after which a server is readmitted
+	RecoveryRamp       time.Duration // time to rise from a quarter of the traffic to all of it, after a readmission
+	WeightRiseTime     time.Duration // time for a traffic fraction to rise from 0 to 1; it falls three times as fast
 
 	// Checks.
-	PanicThreshold float64       // fraction of the checked servers; if more fail their checks, the checks may be wrong
-	FlapHalfLife   time.Duration // half-life of the penalty for changes of the checks' result
-	FlapSuppress   float64       // penalty from which a server stays down; each change adds 1
-	FlapReuse      float64       // and down to which it may come back
+	PanicThreshold float64       // fraction of the checked servers; if more of them fail, the checks may be wrong
+	FlapHalfLife   time.Duration // half-life of the penalty for changes of the checks' results
+	FlapSuppress   float64       // penalty from which a server is held down; each change adds 1
+	FlapReuse      float64       // penalty at which it is released again
 }
 
-// Defaults returns the default rules for a number of classes, of which some are non-idempotent (bit c: class c).
+// Defaults returns the default rules for a number of classes. Bit c of nonIdempotent marks class c as non-idempotent.
 func Defaults(classes int, nonIdempotent uint64) Rules {
 	return Rules{
 		Classes:       classes,
@@ -86,10 +87,10 @@
 	}
 }
 
-// nonIdempotent reports whether no part of a class may run twice.
+// nonIdempotent reports whether a class is non-idempotent: none of its parts may be executed twice.
 func (r *Rules) nonIdempotent(class int) bool { return r.NonIdempotent>>class&1 == 1 }
 
-// validate names the settings in its errors as the operators' files do.
+// validate checks the rules. Its errors name those that are settings by their keys in the operators' files.
 func (r *Rules) validate() error {
 	for _, rule := range []struct {
 		valid  bool // false for NaN, too
@@ -97,48 +98,53 @@
 	}{
 		{
 			valid:  r.Classes >= 1 && r.Classes <= maxClasses,
-			reason: "1 to 63 classes",
+			reason: fmt.Sprintf("%d classes: must be 1 to %d", r.Classes, maxClasses),
 		},
 		{
-			valid:  r.OutcomeHalfLife > 0 && r.AnswerValidity > 0 && r.FlapHalfLife > 0,
-			reason: "half-lives and fresh must be positive",
+			valid: r.OutcomeHalfLife > 0 && r.AnswerValidity > 0 && r.FlapHalfLife > 0,
+			reason: fmt.Sprintf("half_life %v, fresh %v, half-life of the flap penalty %v: must be positive",
+				r.OutcomeHalfLife, r.AnswerValidity, r.FlapHalfLife),
 		},
 		{
 			valid:  r.MinOutcomes >= 1,
-			reason: "volume must be at least 1",
+			reason: fmt.Sprintf("eject_from %v: must be at least 1", r.MinOutcomes),
 		},
 		{
 			valid:  r.EjectFailureRate > 0 && r.EjectFailureRate < 1,
-			reason: "share of failures must be over 0 and under 1",
+			reason: fmt.Sprintf("eject_share %v: must be over 0 and under 1", r.EjectFailureRate),
 		},
 		{
 			valid:  r.EjectPeerRatio >= 1,
-			reason: "ratio must be at least 1",
+			reason: fmt.Sprintf("ratio of failure rates %v: must be at least 1", r.EjectPeerRatio),
 		},
 		{
-			valid:  r.MaxConnectFailures >= 1 && r.ReturnSuccesses >= 1,
-			reason: "unreached and return must be at least 1",
+			valid: r.MaxConnectFailures >= 1 && r.ReturnSuccesses >= 1,
+			reason: fmt.Sprintf("connection failures %d, return %d: must be at least 1",
+				r.MaxConnectFailures, r.ReturnSuccesses),
 		},
 		{
 			valid:  r.MaxEjectedFraction >= 0 && r.MaxEjectedFraction < 1,
-			reason: "eject_most must be 0 or more and under 1: a block keeps a holder",
+			reason: fmt.Sprintf("eject_most %v: must be 0 to under 1: a block keeps a holder", r.MaxEjectedFraction),
 		},
 		{
 			valid:  r.PanicThreshold > 0 && r.PanicThreshold <= 1,
-			reason: "panic must be over 0 and at most 1",
+			reason: fmt.Sprintf("panic %v: must be over 0 and at most 1", r.PanicThreshold),
 		},
 		{
 			valid: r.HalfOpenDelay > 0 && r.HalfOpenInterval > 0 && r.NonIdempotentDelay > 0 &&
 				r.MaxHalfOpenDelay >= r.HalfOpenInterval,
-			reason: "times of trials must be positive, and the longest the longest",
+			reason: fmt.Sprintf("trial_first %v, half-open interval %v, non-idempotent delay %v, trial_most %v:"+
+				" must be positive, and trial_most not under the interval",
+				r.HalfOpenDelay, r.HalfOpenInterval, r.NonIdempotentDelay, r.MaxHalfOpenDelay),
 		},
 		{
-			valid:  r.FlapReuse > 0 && r.FlapSuppress > r.FlapReuse,
-			reason: "flap_most must be over flap_back, and that over 0",
+			valid: r.FlapReuse > 0 && r.FlapSuppress > r.FlapReuse,
+			reason: fmt.Sprintf("flap_most %v: must be over flap reuse %v, which must be over 0",
+				r.FlapSuppress, r.FlapReuse),
 		},
 		{
 			valid:  r.WeightRiseTime > 0 && r.RecoveryRamp > 0,
-			reason: "weight_step and ramp must be positive",
+			reason: fmt.Sprintf("weight_step %v, ramp %v: must be positive", r.WeightRiseTime, r.RecoveryRamp),
 		},
 	} {
 		if !rule.valid {
--- a/internal/control/health/schedule.go
+++ b/internal/control/health/schedule.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// fractionInterval is how often a traffic fraction that is on its way to its target is updated.
+// fractionInterval is how often a traffic fraction that has not reached its target is updated.
 const fractionInterval = 100 * time.Millisecond
 
 const (
-	// expiryMargin is added to a time until which something counts, so that it counts no longer by then.
+	// expiryMargin is added to an expiry time, so that the evidence has expired when the timer fires.
 	expiryMargin = time.Millisecond
-	// flapReuseMargin is added to the time by which the penalty for flapping has decayed, for rounding errors.
+	// flapReuseMargin is added to the time when the flap penalty reaches FlapReuse, against rounding errors.
 	flapReuseMargin = 10 * time.Millisecond
-	// fractionTolerance is by how much a fraction that has reached its target may differ from it.
+	// fractionTolerance is the difference up to which a fraction counts as equal to its target.
 	fractionTolerance = 1e-9
 )
 
-// earliest is the earliest of some times; zero: none.
+// earliest is the earliest of the times added to it; zero if there are none.
 type earliest struct{ time.Time }
 
 func (e *earliest) add(at time.Time) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// scheduleUpdate sets the timer for when a server has to be decided on again though no evidence comes in: something
-// expires, or proceeds with time, by then.
+// scheduleUpdate sets the timer for the next update of a server that is needed without new evidence, because evidence
+// expires or a value depends on the time.
 func (t *Table) scheduleUpdate(index int, decision *Decision) {
 	server := t.servers[index]
 	var next earliest
@@ -37,7 +37,7 @@
 	if !server.recoveryStart.IsZero() || fractionMoves {
 		next.add(t.now.Add(fractionInterval))
 	}
-	if decision.Contradictory && decision.State == InService && t.answersCount(server) {
+	if decision.Contradictory && decision.State == InService && t.lastAnswerValid(server) {
 		next.add(server.lastSuccess.Add(t.rules.AnswerValidity + expiryMargin))
 	}
 	for class := range server.classes {
@@ -52,7 +52,7 @@
 	}
 }
 
-// scheduleChecks adds when a result that matters loses its validity, and when suppression for flapping ends.
+// scheduleChecks adds when a result that affects the decision expires, and when the suppression of flapping ends.
 func (t *Table) scheduleChecks(server *server, next *earliest) {
 	for i := range server.checks {
 		check := &server.checks[i]
@@ -67,20 +67,20 @@
 	}
 }
 
-// scheduleHalfOpen adds when a half-open request may be due.
+// scheduleHalfOpen adds when a half-open request may be due, and when unreachability may expire.
 func (t *Table) scheduleHalfOpen(server *server, decision *Decision, next *earliest) {
-	soon := t.now.Add(halfOpenPollInterval)
+	nextPoll := t.now.Add(halfOpenPollInterval)
 	if decision.EjectedClasses != 0 && decision.State == InService {
 		for class := range server.classes {
 			classState := &server.classes[class]
 			lastResort := decision.EjectedClasses == AllClasses && !t.rules.nonIdempotent(class)
 			if !classState.halfOpen && (classState.ejected || lastResort) {
-				next.add(later(classState.nextHalfOpen, soon))
+				next.add(later(classState.nextHalfOpen, nextPoll))
 			}
 		}
 	}
 	if !server.unreachableAt.IsZero() {
-		next.add(later(server.unreachableAt.Add(t.rules.MaxHalfOpenDelay+expiryMargin), soon))
+		next.add(later(server.unreachableAt.Add(t.rules.MaxHalfOpenDelay+expiryMargin), nextPoll))
 	}
 }
 
--- a/internal/control/health/table.go
+++ b/internal/control/health/table.go
@@ -8,69 +8,70 @@
 	"rooktrestle/internal/control/timers"
 )
 
-// Table holds the evidence on servers. It is owned by one goroutine. A server's evidence is dropped when the endpoint
-// list has it no longer. Times that are given must come from one clock; one that is earlier than a time given before
-// counts as that.
+// Table stores the evidence on servers. It is owned by one goroutine. A server's evidence is dropped when the server is
+// removed from the endpoint list. All times must be from one clock; a time before the latest one given is replaced by
+// the latest.
 //
-// Inside the table a server is named by its index in servers, which may be reused after the server was removed.
+// Internally a server is identified by its index in servers, which is reused after the server was removed.
 type Table struct {
 	rules       Rules
 	checks      []CheckConfig
 	servers     []*server // nil: the index is free
 	index       map[ID]int
 	freeIndices []int
-	replicas    map[int][]int   // servers of each shard that has any
-	fleet       []outcomeWindow // of each class, all servers together
-	partsEnded  []float64       // of each class, since the start
+	replicas    map[int][]int   // servers of each shard that has replicas
+	fleet       []outcomeWindow // by class, of all servers together
+	partsEnded  []float64       // by class, since the start
 	timers      *timers.Wheel
-	dirty       []int // servers to decide on anew
+	dirty       []int // servers whose decision has to be recomputed
 	changes     []Change
 
-	checkedServers int       // servers with a valid check
-	failingServers int       // of them, those that are down by it
-	suspect        bool      // so many fail that the checks are taken for wrong
-	nextSuspicion  time.Time // when to judge the checks again; zero: no reason to
-	now            time.Time // the latest time given
+	checkedServers      int       // servers with a valid check
+	failingServers      int       // checked servers that are down by their checks
+	suspect             bool      // so many fail that the checks are taken to be wrong
+	nextSuspicionUpdate time.Time // when to evaluate suspect again; zero: not needed
+	now                 time.Time // the latest time given
 }
 
-// server is a server with its evidence.
+// server is a server and the evidence on it.
 type server struct {
 	Server
 	checks  []checkState
 	classes []classState
 
-	connectFailures int       // in a row
+	connectFailures int       // consecutive
 	unreachableAt   time.Time // of the last connection failure that made the server unreachable; zero: it is reachable
-	lastUnreachable time.Time // the same, kept after the server has recovered
-	revivals        int       // times that a check has made it reachable again without an answer since
+	lastUnreachable time.Time // the same, retained after the server is reachable again
+	checkRecoveries int       // times that a check made it reachable again since its last answer
 	lastSuccess     time.Time
 
 	flapPenalty   float64 // decayed number of changes of the checks' result
 	flapPenaltyAt time.Time
 	suppressed    bool // down because its checks flap
-	wasDown       bool // by its checks, before suppression
+	wasDown       bool // by its checks, regardless of suppression
 
-	fraction      float64 // of its traffic
+	fraction      float64 // current traffic fraction, not rounded
 	fractionAt    time.Time
-	recoveryStart time.Time // of the last return; zero: the ramp is over
+	recoveryStart time.Time // of the current recovery ramp; zero: none
 
-	fit      bool // counts as a replica of its shards
-	standing checkStanding
-	queued   bool // in Table.dirty
-	decision Decision
-	decided  bool // there is a decision
+	available    bool // not drained, not down and reachable: counts as a replica of its shards
+	checkSummary checkSummary
+	queued       bool // in Table.dirty
+	decision     Decision
+	decided      bool // decision is set
 }
 
-// checkStanding is how a server counts when the checks are judged as a whole.
-type checkStanding struct {
-	checked bool // it has a valid check, and is not drained: it is one of Table.checkedServers
-	failing bool // it is also down by its checks: it is one of Table.failingServers
+// checkSummary is what a server contributes to the evaluation of all checks together.
+type checkSummary struct {
+	checked bool // it has a valid check and is not drained; counted in Table.checkedServers
+	failing bool // it is also down by its checks; counted in Table.failingServers
 }
 
-// timerResolution is the interval of the timer wheel: how late a server may be decided on anew.
+// timerResolution is the interval of the timer wheel, and so the maximum delay of a scheduled update of a server.
 const timerResolution = 10 * time.Millisecond
 
-// New returns an empty table, or an error if a rule or a check is invalid. RecordCheck names checks by their indices.
+// New returns an empty table, or an error if a rule or a check is invalid. RecordCheck identifies a check by its index
+// in checks.
 func New(rules Rules, checks []CheckConfig, start time.Time) (*Table, error) {
 	if err := rules.validate(); err != nil {
 		return nil, fmt.Errorf("health: %w", err)
@@ -92,7 +93,7 @@
 	}, nil
 }
 
-// UpdateEndpoints takes the servers that have changed in the endpoint list.
+// UpdateEndpoints applies changed entries of the endpoint list.
 func (t *Table) UpdateEndpoints(now time.Time, changed []Server) {
 	t.advance(now)
 	for _, endpoint := range changed {
@@ -100,7 +101,7 @@
 	}
 }
 
-// ReplaceEndpoints takes the whole endpoint list: servers that are not in it are removed.
+// ReplaceEndpoints applies a complete endpoint list: servers that are not in it are removed.
 func (t *Table) ReplaceEndpoints(now time.Time, list []Server) {
 	t.UpdateEndpoints(now, list)
 	listed := map[ID]bool{}
@@ -138,7 +139,7 @@
 
 // addServer adds a server that is not listed yet, and returns its index.
 func (t *Table) addServer(endpoint Server) (i int) {
-	i = t.takeIndex()
+	i = t.allocateIndex()
 	t.servers[i] = &server{
 		Server:     endpoint,
 		classes:    make([]classState, t.rules.Classes),
@@ -150,8 +151,8 @@
 	return i
 }
 
-// takeIndex returns an index of servers that is free, or a new one.
-func (t *Table) takeIndex() (i int) {
+// allocateIndex returns a free index of servers, or appends a new one.
+func (t *Table) allocateIndex() (i int) {
 	last := len(t.freeIndices) - 1
 	if last < 0 {
 		t.servers = append(t.servers, nil)
@@ -162,12 +163,12 @@
 	return i
 }
 
-// removeServer drops a server with its evidence, and frees its index.
+// removeServer removes a server and its evidence, and frees its index.
 func (t *Table) removeServer(i int) {
 	server := t.servers[i]
 	t.removeReplicas(i)
 	t.timers.Cancel(i)
-	t.updateCheckCounts(server, checkStanding{})
+	t.updateCheckCounts(server, checkSummary{})
 	delete(t.index, server.ID)
 	t.servers[i] = nil
 	t.freeIndices = append(t.freeIndices, i)
@@ -179,17 +180,17 @@
 	})
 }
 
-// addReplicas enters a server as a replica of its shards.
+// addReplicas adds a server to the replicas of its shards.
 func (t *Table) addReplicas(i int) {
 	for _, shard := range t.servers[i].Shards {
 		t.replicas[shard] = append(t.replicas[shard], i)
 	}
-	t.markNeighboursDirty(i)
+	t.markShardReplicasDirty(i)
 }
 
-// removeReplicas ends that a server counts as a replica of its shards.
+// removeReplicas removes a server from the replicas of its shards.
 func (t *Table) removeReplicas(i int) {
-	t.markNeighboursDirty(i)
+	t.markShardReplicasDirty(i)
 	for _, shard := range t.servers[i].Shards {
 		remaining := slices.DeleteFunc(t.replicas[shard], func(other int) bool { return other == i })
 		t.replicas[shard] = remaining
@@ -199,14 +200,14 @@
 	}
 }
 
-// advance moves the table's time forward to now, never back.
+// advance moves the table's time forward to now. It never moves back.
 func (t *Table) advance(now time.Time) {
 	if now.After(t.now) {
 		t.now = now
 	}
 }
 
-// markDirty has a server decided on anew by Changes.
+// markDirty makes the next Changes recompute the decision on a server.
 func (t *Table) markDirty(i int) {
 	if s := t.servers[i]; s != nil && !s.queued {
 		s.queued = true
@@ -214,8 +215,8 @@
 	}
 }
 
-// markNeighboursDirty has all servers decided on anew that share a shard with one, and itself.
-func (t *Table) markNeighboursDirty(i int) {
+// markShardReplicasDirty marks a server dirty and all servers that share a shard with it.
+func (t *Table) markShardReplicasDirty(i int) {
 	for _, shard := range t.servers[i].Shards {
 		for _, other := range t.replicas[shard] {
 			t.markDirty(other)
@@ -223,8 +224,8 @@
 	}
 }
 
-// Changes decides on all evidence that has come in, and returns what has changed since the last call. The slice is the
-// caller's.
+// Changes recomputes decisions from the evidence recorded since the last call, and returns what has changed. The caller
+// owns the slice.
 func (t *Table) Changes(now time.Time) []Change {
 	t.advance(now)
 	t.timers.Pop(t.now, t.markDirty)
@@ -242,16 +243,16 @@
 	return changes
 }
 
-// NextDeadline returns when Changes has to be called next if no evidence comes in; ok is false if never.
+// NextDeadline returns when Changes has to be called next if no evidence is recorded; ok is false if never.
 func (t *Table) NextDeadline() (at time.Time, ok bool) {
 	at, ok = t.timers.Next()
-	if !t.nextSuspicion.IsZero() && (!ok || t.nextSuspicion.Before(at)) {
-		return t.nextSuspicion, true
+	if !t.nextSuspicionUpdate.IsZero() && (!ok || t.nextSuspicionUpdate.Before(at)) {
+		return t.nextSuspicionUpdate, true
 	}
 	return at, ok
 }
 
-// Decision returns the last decision on a server; ok is false if it is not listed.
+// Decision returns the current decision on a server; ok is false if the server is not listed.
 func (t *Table) Decision(id ID) (d Decision, ok bool) {
 	i, ok := t.index[id]
 	if !ok {
@@ -260,7 +261,7 @@
 	return t.servers[i].decision, true
 }
 
-// UsableReplicas returns the number of a shard's replicas that can be expected to answer parts of a class.
+// UsableReplicas returns the number of a shard's replicas that are expected to answer parts of a class.
 func (t *Table) UsableReplicas(shard, class int) (usable int) {
 	for _, i := range t.replicas[shard] {
 		if t.servers[i].usable(class) {
@@ -270,18 +271,18 @@
 	return usable
 }
 
-// usable reports whether the server can be expected to answer parts of a class.
+// usable reports whether the server is expected to answer parts of a class.
 func (s *server) usable(class int) bool {
 	c := &s.classes[class]
 	return s.decided && s.decision.State == InService && s.decision.Usable && !c.ejected && !c.ejectionBlocked
 }
 
-// Now returns the latest time that was given to the table.
+// Now returns the latest time given to the table.
 func (t *Table) Now() time.Time { return t.now }
 
 // Len returns the number of servers listed.
 func (t *Table) Len() int { return len(t.index) }
 
-// ChecksSuspect reports whether failing checks are ignored: so many fail while parts are answered that they must be
-// wrong.
+// ChecksSuspect reports whether failing checks are ignored, because so many fail while parts are answered that the
+// checks must be wrong.
 func (t *Table) ChecksSuspect() bool { return t.suspect }
--- a/internal/control/health/table_test.go
+++ b/internal/control/health/table_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkedTable takes random evidence and checks the table's decisions after each step.
+// checkedTable gives a table random evidence and checks the decisions after each step.
 type checkedTable struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -59,8 +59,8 @@
 // The checks of a checkedTable, by index.
 const agentCheck, httpCheck = 0, 1
 
-// Random evidence: drained servers are never in service, traffic fractions are within bounds, no shard loses all its
-// replicas to ejections, and half-open requests are granted only of ejected classes.
+// FuzzTable checks with random evidence that drained servers are never in service, traffic fractions are within bounds,
+// no shard loses all its replicas to ejections, and half-open requests are granted only for ejected classes.
 func FuzzTable(f *testing.F) {
 	f.Add(uint64(1), uint16(400))
 	f.Add(uint64(77), uint16(1500))
@@ -90,7 +90,7 @@
 	})
 }
 
-// step gives the table one piece of evidence, or a few outcomes.
+// step records a check, an endpoint update or a few outcomes, and checks the decisions.
 func (c *checkedTable) step() {
 	c.now = c.now.Add(time.Duration(c.rng.IntN(300)) * time.Millisecond)
 	i := c.rng.IntN(len(c.ids))
@@ -115,7 +115,7 @@
 	}
 }
 
-// drainState is whether the roster lets a server drain.
+// drainState is whether a server drains by the endpoint list.
 type drainState bool
 
 const (
@@ -153,9 +153,9 @@
 	case change.TrafficFraction < 0.05 || change.TrafficFraction > 1:
 		c.t.Fatalf("traffic fraction %v", change.TrafficFraction)
 	case change.HalfOpenClasses&^change.EjectedClasses != 0, change.HalfOpenClasses != 0 && change.State != InService:
-		c.t.Fatalf("a half-open request of a class that is not ejected: %+v", change)
+		c.t.Fatalf("half-open request granted for a class that is not ejected: %+v", change)
 	case change.State != InService && change.Usable:
-		c.t.Fatalf("usable and not in service: %+v", change)
+		c.t.Fatalf("usable although not in service: %+v", change)
 	}
 }
 
@@ -167,22 +167,22 @@
 		c.t.Fatalf("%s is not listed", id)
 	}
 	if c.drained[id] && d.State == InService {
-		c.t.Fatalf("%s is drained and in service: %+v", id, d)
+		c.t.Fatalf("%s is in service although drained: %+v", id, d)
 	}
-	fit := 0
+	available := 0
 	remaining := 0
 	for _, other := range c.table.replicas[i] {
 		s := c.table.servers[other]
-		if !s.fit {
+		if !s.available {
 			continue
 		}
-		fit++
+		available++
 		if !s.classes[search].ejected {
 			remaining++
 		}
 	}
 	ejected := d.State == InService && d.EjectedClasses != 0 && d.EjectedClasses != AllClasses
-	if ejected && remaining == 0 && fit == len(c.table.replicas[i]) {
+	if ejected && remaining == 0 && available == len(c.table.replicas[i]) {
 		c.t.Fatalf("shard %d lost all its replicas to ejections", i)
 	}
 }
--- a/internal/control/health/types.go
+++ b/internal/control/health/types.go
@@ -1,30 +1,30 @@
-// Package health keeps the evidence on servers and decides from it which of them get requests: all, only what no
-// other replica can take, or nothing, and which fraction of their traffic. Evidence comes from the endpoint list
-// (called the roster in texts for operators), from health checks of several kinds, and from the outcomes of real
-// parts of queries, by class. The package does no I/O, reads no clock and starts no goroutine; equal events lead to
+// Package health collects evidence on the health of servers and decides from it whether a server receives all requests,
+// only those that no other replica can accept, or none, and which fraction of its traffic. Evidence comes from the
+// endpoint list (called the roster in texts for operators), from health checks of several kinds, and from the outcomes
+// of parts of queries, by class. The package does no I/O, reads no clock and starts no goroutine; equal events lead to
 // equal decisions.
 //
-// docs/health.md describes how facts merge; decision.go is that table.
+// docs/health.md describes how the evidence is merged; decision.go implements that table.
 package health
 
-// ID names a server.
+// ID identifies a server.
 type ID string
 
-// AdminState is what an operator wants done with a server, whatever its condition.
+// AdminState is the administrative state that an operator sets for a server, independent of its health.
 type AdminState int8
 
 // The administrative states. The stronger of two has the larger value.
 const (
-	AdminUnset  AdminState = iota // not given: stays as it was
-	Ready                         // gets requests
-	Drain                         // finishes what is in flight and gets nothing new
-	Maintenance                   // the same, and the server is taken off the list
+	AdminUnset  AdminState = iota // not given: the state is unchanged
+	Ready                         // receives requests
+	Drain                         // receives no new requests; those in flight complete
+	Maintenance                   // like Drain, and the server is removed from the balancer's list
 )
 
 // String returns the state as agents send it.
 func (a AdminState) String() string { return [...]string{"", "ready", "drain", "maint"}[a] }
 
-// OperState is the operational state of a server by a check.
+// OperState is the operational state of a server as a check reports it.
 type OperState int8
 
 // The operational states.
@@ -40,66 +40,67 @@
 // CheckResult is the result of one health check.
 type CheckResult struct {
 	Failed    bool       // no connection, no answer in time, or not the expected answer
-	Immediate bool       // counts at once, regardless of CheckConfig.Fall
+	Immediate bool       // a failure takes the server down at once, regardless of CheckConfig.Fall
 	Admin     AdminState // AdminUnset if not given
 	Oper      OperState  // OperUnset if not given
 	Weight    float64    // fraction of the full weight, 0 to 2.56; negative if not given
-	MaxConn   int        // parts that the server accepts from us at once; negative if not given
-	Degraded  bool       // the server serves, but prefers that others do
-	Reason    string     // for people
+	MaxConn   int        // maximum number of parts in flight from this aggregator; negative if not given
+	Degraded  bool       // the server works, but asks that others be preferred
+	Reason    string     // human-readable
 }
 
-// Outcome is how an attempt of a real part ended, as far as it says something about its server.
+// Outcome is the result of an attempt of a part, as evidence on its server.
 type Outcome int8
 
 // The outcomes.
 const (
-	Success        Outcome = iota // it was answered
-	Failure                       // an error, a reset or a time-out: it may have run
-	ConnectFailure                // no connection: it never ran
-	Neutral                       // cancelled or rejected: says nothing about the server's health
+	Success        Outcome = iota // the part was answered
+	Failure                       // an error, a reset or a timeout: the server may have executed the part
+	ConnectFailure                // no connection: the server has not executed the part
+	Neutral                       // canceled or rejected: no evidence on the server's health
 )
 
-// Server is a server as the endpoint list has it.
+// Server is an entry of the endpoint list.
 type Server struct {
 	ID       ID
-	Shards   []int // indices of the shards that it holds
-	Removed  bool  // the list has it no longer
-	Draining bool  // the list drains it
+	Shards   []int // indices of the shards of which it has a replica
+	Removed  bool  // no longer in the list
+	Draining bool  // marked as draining in the list
 }
 
-// State says whether a server gets requests.
+// State is whether a server receives requests.
 type State int8
 
 // The states.
 const (
 	InService    State = iota
-	Draining           // gets nothing new; what is in flight finishes
-	OutOfService       // gets nothing new, and is taken off the list
+	Draining           // receives no new requests; those in flight complete
+	OutOfService       // receives no new requests, and is removed from the balancer's list
 )
 
 // String returns the state as logs and status pages print it.
 func (s State) String() string { return [...]string{"in service", "draining", "out"}[s] }
 
-// AllClasses as Decision.EjectedClasses makes a server a last resort: for every class only if no other replica is left.
+// AllClasses as Decision.EjectedClasses makes a server a last resort: it receives parts, of whatever class, only if no
+// other replica is available.
 const AllClasses = ^uint64(0)
 
-// Decision is what is to be done with a server.
+// Decision is how the balancer has to treat a server.
 type Decision struct {
 	State           State
-	EjectedClasses  uint64  // bit c: parts of class c go there only if no other replica can take them
-	TrafficFraction float64 // of the traffic that it would get, over 0 to 1
-	MaxInFlight     int     // parts in flight at once; 0: no limit
-	Cause           string  // for people
-	Usable          bool    // a part that is sent there can be expected to be answered
+	EjectedClasses  uint64  // bit c: the server receives parts of class c only as a last resort
+	TrafficFraction float64 // fraction of its normal share of the traffic, over 0 to 1
+	MaxInFlight     int     // maximum number of parts in flight; 0: no limit
+	Cause           string  // human-readable
+	Usable          bool    // the server is expected to answer parts
 	Contradictory   bool    // pieces of evidence contradict each other
 }
 
-// Change is a decision that has changed, or a half-open request that is granted.
+// Change reports a changed decision or newly granted half-open requests.
 type Change struct {
 	ID ID
 	Decision
-	HalfOpenClasses uint64 // bit c: one part of class c may be sent there although the class is ejected
-	Notable         bool   // more than the traffic fraction or a grant changed: worth a line in the log
+	HalfOpenClasses uint64 // bit c: one part of class c may be sent although the server is ejected from it
+	Notable         bool   // more than the traffic fraction, Usable or a grant changed: to be logged
 	PreviousState   State
 }
