--- a/internal/control/readiness/damped.go
+++ b/internal/control/readiness/damped.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// dampedState is a state that follows the observed one with a delay, so that it does not flap.
+// dampedState follows an observed state with a delay, so that it does not flap.
 type dampedState struct {
 	current State
 	reason  string    // of current
-	pending State     // observed last
-	since   time.Time // when pending was observed first, if it differs from current
-	started bool      // an observation has been made; the first is taken over at once
+	pending State     // last observed state
+	since   time.Time // when pending was first observed, if it differs from current
+	started bool      // there was an observation; the first is adopted at once
 }
 
-// update takes what is observed at a moment and sets current and reason.
+// update handles an observation and updates current and reason.
 func (d *dampedState) update(now time.Time, observed State, reason string, config Config) {
 	if !d.started {
 		d.started = true
--- a/internal/control/readiness/headroom.go
+++ b/internal/control/readiness/headroom.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	reasonBelow       = 0.95 // a limit that leaves less headroom than this is given as a reason
-	minWindowReceived = 4    // queries within the window without which rejected ones say nothing
-	memoryReserve     = 4    // headroom falls once less than one part in so many of the memory is free
+	reasonThreshold   = 0.95 // headroom below which a limit is reported as a reason
+	minWindowReceived = 4    // queries in the window below which rejections are ignored
+	freeMemoryFactor  = 4    // headroom falls once less than 1/freeMemoryFactor of the memory is free
 )
 
-// headroom tracks how much more load the aggregator can take, from 0 to 1. It falls at once and rises slowly.
+// headroom tracks how much more load the aggregator can accept, from 0 to 1. It falls at once and rises slowly.
 type headroom struct {
 	config  Config
-	samples []rejectionSample // the present one and those of the window, oldest first
+	samples []rejectionSample // those of the window, oldest first; the last is the current one
 	value   float64           // as of the last update
-	updated time.Time         // zero: never
+	updated time.Time         // time of the last update; zero: none
 }
 
-// rejectionSample holds the counts of queries at a moment.
+// rejectionSample contains the counts of queries at one time.
 type rejectionSample struct {
 	at                 time.Time
 	received, rejected uint64
@@ -27,12 +27,12 @@
 
 func newHeadroom(config Config) headroom { return headroom{config: config, value: 1} }
 
-// update returns the headroom at a snapshot and the reasons why it is not full.
+// update returns the headroom at a snapshot and the reasons why it is not 1.
 func (h *headroom) update(now time.Time, snapshot Snapshot) (value float64, reasons []string) {
 	value = 1
 	limitTo := func(limit float64, reason string) {
 		limit = min(1, max(0, limit))
-		if limit < reasonBelow {
+		if limit < reasonThreshold {
 			reasons = append(reasons, reason)
 		}
 		value = min(value, limit)
@@ -45,7 +45,7 @@
 	limitTo(1/(1+float64(snapshot.LoopLag)/float64(h.config.HalfWeightLag)),
 		fmt.Sprintf("the loop is %v late", snapshot.LoopLag.Round(time.Millisecond)))
 	if snapshot.MemoryLimit > 0 {
-		limitTo(memoryReserve*(1-float64(snapshot.MemoryUsed)/float64(snapshot.MemoryLimit)),
+		limitTo(freeMemoryFactor*(1-float64(snapshot.MemoryUsed)/float64(snapshot.MemoryLimit)),
 			fmt.Sprintf("%d of %d MB used", snapshot.MemoryUsed>>20, snapshot.MemoryLimit>>20))
 	}
 	received, rejected := h.countWindow(now, snapshot)
@@ -62,7 +62,7 @@
 	return value, reasons
 }
 
-// countWindow records a snapshot's counts of queries and returns how many came and were rejected within the window.
+// countWindow records a snapshot's counts of queries and returns how many were received and rejected in the window.
 func (h *headroom) countWindow(now time.Time, snapshot Snapshot) (received, rejected uint64) {
 	h.samples = append(h.samples, rejectionSample{now, snapshot.Received, snapshot.Rejected})
 	for len(h.samples) > 2 && now.Sub(h.samples[1].at) >= h.config.RejectionWindow {
--- a/internal/control/readiness/readiness.go
+++ b/internal/control/readiness/readiness.go
@@ -1,8 +1,8 @@
 // Package readiness decides what an aggregator reports of its own health: whether queries can be answered, database by
-// database, and how much more load it can take. It does no I/O and reads no clock.
+// database, and how much more load it can accept. It does no I/O and reads no clock.
 //
-// A state gets worse once its cause has lasted for a moment, and better once the cause has been gone for longer,
-// so that it does not flap. Both delays are well under the second within which the report has to be true.
+// A state gets worse after a short delay, and better after a longer one, so that it does not flap. Both delays are well
+// under one second, the maximum age of a state that a report may show.
 package readiness
 
 import (
@@ -13,38 +13,38 @@
 	"time"
 )
 
-// State of the aggregator, or of one database. A greater one is worse.
+// State is the state of the aggregator or of one database. Greater values are worse.
 type State int8
 
-// States from best to worst.
+// The states, from best to worst.
 const (
 	Up       State = iota
 	Degraded       // partial answers only, or no corrections of some shards
-	Down           // no answer can be given
+	Down           // no query can be answered
 	stateCount
 )
 
-// String returns the state's name, as it stands in reports.
+// String returns the state's name as in reports.
 func (s State) String() string { return [...]string{"up", "degraded", "down"}[s] }
 
-// DatabaseSnapshot is what is known of one database: which of its shards have a server that may be expected to answer.
+// DatabaseSnapshot is the state of one database: which of its shards have no server that is expected to answer.
 type DatabaseSnapshot struct {
 	Name                  string
 	Shards                int     // number of shards
 	SearchUnavailable     []int   // shards without a usable server for searches
-	CorrectionUnavailable []int   // shards without one for corrections; empty if the database takes none
-	MinCoverage           float64 // minimum share of shards for an answer, 0 to 1
-	Caveat                string  // why the servers' states may be wrong; "" if there is no doubt
+	CorrectionUnavailable []int   // shards without one for corrections; empty if the database accepts none
+	MinCoverage           float64 // minimum fraction of the shards for an answer, 0 to 1
+	Caveat                string  // why the servers' states may be unreliable; "" if they are reliable
 }
 
-// Snapshot is the state of the aggregator at one moment.
+// Snapshot is the state of the aggregator at one time.
 type Snapshot struct {
-	Draining    bool          // shutting down: queries should go elsewhere
-	InFlight    int           // queries and their parts
+	Draining    bool          // shutting down: queries should be sent elsewhere
+	InFlight    int           // number of queries and their parts
 	MaxInFlight int           // 0: not limited
-	Received    uint64        // queries, since the start of the process
-	Rejected    uint64        // of these
-	LoopLag     time.Duration // by which the event loop is behind
+	Received    uint64        // number of queries since the start of the process
+	Rejected    uint64        // number of these that were rejected
+	LoopLag     time.Duration // delay of the event loop
 	MemoryUsed  uint64        // bytes
 	MemoryLimit uint64        // bytes; 0: not limited
 	Databases   []DatabaseSnapshot
@@ -55,22 +55,22 @@
 	Name      string `json:"database"`
 	State     State  `json:"-"`
 	StateText string `json:"state"`
-	Reason    string `json:"reason,omitempty"` // of a state that is not Up
+	Reason    string `json:"reason,omitempty"` // empty if the state is Up
 }
 
-// Report is the health that the aggregator reports of itself.
+// Report is the health that the aggregator reports for itself.
 type Report struct {
 	At        time.Time        `json:"at"`
 	State     State            `json:"-"`
 	StateText string           `json:"state"`
 	Draining  bool             `json:"drain"`
-	Weight    int              `json:"weight"` // of the aggregator for load balancers: percent, 1 to 100
+	Weight    int              `json:"weight"` // for load balancers: percent of the full weight, 1 to 100
 	Reasons   []string         `json:"reasons,omitempty"`
 	Databases []DatabaseReport `json:"databases"`
 }
 
-// Database returns the report on a database, whose name is compared without regard to case; nil if there is none. The
-// result points into r.
+// Database returns the report on a database; nil if there is none. Names are compared case-insensitively. The result
+// points into r.
 func (r *Report) Database(name string) *DatabaseReport {
 	for i := range r.Databases {
 		if strings.EqualFold(r.Databases[i].Name, name) {
@@ -80,15 +80,15 @@
 	return nil
 }
 
-// Config holds the parameters of an Evaluator. DefaultConfig returns the usual ones.
+// Config contains the parameters of an Evaluator. DefaultConfig returns the usual ones.
 type Config struct {
-	DegradeDelay        time.Duration // how long a cause lasts before a state gets worse
-	RecoverDelay        time.Duration // how long it is gone before the state gets better
-	FreeFraction        float64       // fraction of MaxInFlight that may be in flight before the weight falls
-	HalfWeightLag       time.Duration // lag of the event loop at which the weight is a half
-	RejectionWindow     time.Duration // over which rejected queries count
-	WeightRisePerSecond float64       // by which the weight may rise, where 1 is the full weight
-	WeightStep          float64       // the reported weight is a multiple of it
+	DegradeDelay        time.Duration // how long a worse state is observed before it is reported
+	RecoverDelay        time.Duration // how long a better state is observed before it is reported
+	FreeFraction        float64       // fraction of MaxInFlight up to which the weight does not fall
+	HalfWeightLag       time.Duration // delay of the event loop at which the weight is halved
+	RejectionWindow     time.Duration // time window over which rejected queries count
+	WeightRisePerSecond float64       // maximum rise of the weight, where 1 is the full weight
+	WeightStep          float64       // the reported weight is a multiple of this
 }
 
 // DefaultConfig returns the usual parameters.
@@ -116,10 +116,10 @@
 	return &Evaluator{config: config, databases: map[string]*dampedState{}, headroom: newHeadroom(config)}
 }
 
-// Evaluate returns the report for a snapshot. Snapshots come in the order of time, at least every DegradeDelay.
+// Evaluate returns the report for a snapshot. It is called in the order of time, at least every DegradeDelay.
 func (e *Evaluator) Evaluate(now time.Time, snapshot Snapshot) Report {
 	report := Report{At: now, Draining: snapshot.Draining}
-	e.forgetRemovedDatabases(snapshot.Databases)
+	e.dropRemovedDatabases(snapshot.Databases)
 	for _, database := range snapshot.Databases {
 		report.Databases = append(report.Databases, e.evaluateDatabase(now, database))
 	}
@@ -139,13 +139,13 @@
 	return report
 }
 
-func (e *Evaluator) forgetRemovedDatabases(databases []DatabaseSnapshot) {
-	present := map[string]bool{}
+func (e *Evaluator) dropRemovedDatabases(databases []DatabaseSnapshot) {
+	current := map[string]bool{}
 	for _, database := range databases {
-		present[database.Name] = true
+		current[database.Name] = true
 	}
 	for name := range e.databases {
-		if !present[name] {
+		if !current[name] {
 			delete(e.databases, name)
 		}
 	}
@@ -167,13 +167,13 @@
 	}
 }
 
-// weightPercent rounds a weight from 0 to 1 to the step in which it is reported.
+// weightPercent converts a weight from 0 to 1 to a percentage, rounded to a multiple of WeightStep and at least 1.
 func (e *Evaluator) weightPercent(weight float64) int {
 	step := e.config.WeightStep
 	return max(1, int(math.Round(weight/step)*step*100+0.5))
 }
 
-// combinedState is the state of the aggregator. It follows the databases' states at once, which are damped already.
+// combinedState returns the state of the aggregator. It is not damped, since the databases' states are.
 func combinedState(databases []DatabaseReport) State {
 	counts := [stateCount]int{}
 	for _, database := range databases {
@@ -188,7 +188,7 @@
 	return Up
 }
 
-// databaseState is the state of a database by a snapshot alone, and the reason unless that is Up.
+// databaseState returns the undamped state of a database by a snapshot, and the reason unless the state is Up.
 func databaseState(database DatabaseSnapshot) (State, string) {
 	coverage := 1.0
 	if database.Shards > 0 {
@@ -214,7 +214,7 @@
 	return Up, ""
 }
 
-// maxShardsListed is how many shards a reason names.
+// maxShardsListed is the maximum number of shards that a reason lists.
 const maxShardsListed = 8
 
 func formatShards(shards []int) string {
--- a/internal/control/readiness/readiness_test.go
+++ b/internal/control/readiness/readiness_test.go
@@ -10,7 +10,7 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// interval between two snapshots, as in the program.
+// interval is the time between two snapshots, as in the program.
 const interval = 50 * time.Millisecond
 
 // evaluateFor evaluates the same snapshot for a duration, advances now by it, and returns the last report.
@@ -22,7 +22,7 @@
 	return report
 }
 
-// captions is a database that takes corrections and answers only with all of its four shards.
+// captions returns the snapshot of a database that accepts corrections and answers only with all of its four shards.
 func captions(searchUnavailable, correctionUnavailable []int) DatabaseSnapshot {
 	return DatabaseSnapshot{
 		Name: "captions", Shards: 4, MinCoverage: 1,
@@ -30,7 +30,7 @@
 	}
 }
 
-// coverage is a database that answers with half of its four shards.
+// coverage returns the snapshot of a database that answers with at least half of its four shards.
 func coverage(searchUnavailable []int) DatabaseSnapshot {
 	return DatabaseSnapshot{Name: "coverage", Shards: 4, MinCoverage: 0.5, SearchUnavailable: searchUnavailable}
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// A fault that comes and goes faster than the delays is not reported; one that lasts is, within a second.
+// A fault that alternates faster than the delays is not reported; a lasting one is, within a second.
 func TestEvaluator_StatesDoNotFlap(t *testing.T) {
 	e := New(DefaultConfig())
 	now := origin
@@ -115,7 +115,7 @@
 		}
 	}
 	if changes > 0 {
-		t.Errorf("%d changes of the reported state", changes)
+		t.Errorf("the reported state changed %d times, want none", changes)
 	}
 	timeUntil := func(want State, s Snapshot) time.Duration {
 		begin := now
@@ -125,10 +125,10 @@
 		return now.Sub(begin)
 	}
 	if d := timeUntil(Down, faulty); d > 300*time.Millisecond {
-		t.Errorf("down is reported after %v", d)
+		t.Errorf("down was reported after %v, want at most 300ms", d)
 	}
 	if d := timeUntil(Up, healthy); d > 600*time.Millisecond || d < 250*time.Millisecond {
-		t.Errorf("up is reported after %v", d)
+		t.Errorf("up was reported after %v, want 250ms to 600ms", d)
 	}
 }
 
@@ -181,7 +181,7 @@
 	if r.Weight > 15 {
 		t.Errorf("nine of ten queries rejected: %+v", r)
 	}
-	// It rises slowly, and no further than the snapshots allow.
+	// The weight rises slowly, and only as far as the snapshots allow.
 	r = evaluateFor(e, &now, 1200*time.Millisecond, s)
 	if r.Weight < 20 || r.Weight > 80 {
 		t.Errorf("1.2 s after the last rejection: %+v", r)
@@ -192,7 +192,7 @@
 	}
 }
 
-// observedState is a database's state by one snapshot alone.
+// observedState is the undamped state of a database by one snapshot.
 type observedState struct {
 	at    time.Time
 	state State
@@ -225,7 +225,7 @@
 			}
 			reported := r.Databases[0]
 			if !slices.ContainsFunc(observed, func(o observedState) bool { return o.state == reported.State }) {
-				t.Fatalf("%v is reported, and was not observed within a second: %v", reported, observed)
+				t.Fatalf("%v is reported although it was not observed within a second: %v", reported, observed)
 			}
 		}
 	})
--- a/internal/control/readiness/report_test.go
+++ b/internal/control/readiness/report_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Load balancers and operators' scripts read the report. testdata/report-b803164.json was written by commit
-// b803164 (package internal/decide/readiness) for the same snapshot.
+// The JSON of a report stays as load balancers and operators' scripts read it. testdata/report-b803164.json was written
+// by commit b803164 (package internal/decide/readiness) for the same snapshot.
 func TestReport_JSONIsThatOfEarlierVersions(t *testing.T) {
 	want, err := os.ReadFile("testdata/report-b803164.json")
 	if err != nil {
