--- a/internal/control/scheduler/benchmark_test.go
+++ b/internal/control/scheduler/benchmark_test.go
@@ -10,8 +10,8 @@
 	"rooktrestle/internal/control/timers"
 )
 
-// BenchmarkScheduler measures one run from its due time to Done, for several numbers of tasks. The delay is that
-// of virtual time, at the 99th percentile, and memory is what adding a task allocates. Run with -bench Scheduler
+// BenchmarkScheduler measures one run from its due time to Done, for several numbers of tasks. It reports the 99th
+// percentile of the delay in virtual time and the memory that adding a task allocates. Run with -bench Scheduler
 // -benchmem.
 func BenchmarkScheduler(b *testing.B) {
 	for _, tasks := range []int{100, 10_000, 100_000} {
--- a/internal/control/scheduler/queue.go
+++ b/internal/control/scheduler/queue.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// compactAfter is how many consumed entries a queue keeps before it moves the others to the front.
-const compactAfter = 1024
+// compactThreshold is the number of popped entries from which a queue moves the remainder to the front.
+const compactThreshold = 1024
 
 // readyQueue is a FIFO queue that reuses its memory.
 type readyQueue struct {
@@ -9,7 +9,7 @@
 	head    int // index of the first entry that has not been popped
 }
 
-// readyEntry is stale if the task's generation has changed since.
+// readyEntry is a task that was ready when it was pushed. It is stale if the task's generation has changed.
 type readyEntry struct {
 	id         TaskID
 	generation uint32
@@ -27,7 +27,7 @@
 	case q.isEmpty():
 		q.entries = q.entries[:0]
 		q.head = 0
-	case q.head > compactAfter && q.head > len(q.entries)/2:
+	case q.head > compactThreshold && q.head > len(q.entries)/2:
 		q.entries = append(q.entries[:0], q.entries[q.head:]...)
 		q.head = 0
 	}
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -1,11 +1,9 @@
-// Package scheduler decides when background work runs: which task next, within a budget of starts per second and
-// of concurrent runs, by priority, and at an interval that depends on the result of the task's last run. It does
-// no I/O, reads no clock and starts no goroutine: its owner passes in the time and the ends of runs, and starts
-// the runs that it returns.
+// Package scheduler decides when background tasks run, within a budget of starts per second and of concurrent runs, by
+// priority, and at an interval that depends on the result of the task's last run. It does no I/O, reads no clock and
+// starts no goroutine: its owner passes in the time and the ends of runs, and starts the runs that it returns.
 package scheduler
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -16,9 +14,9 @@
 // Budget limits what a Scheduler starts.
 type Budget struct {
 	StartsPerSecond float64 // on average; more than 0
-	Burst           int     // starts at once after a quiet time; at least 1
-	MaxRunning      int     // concurrent runs; at least 2
-	Jitter          float64 // share of an interval by which a start may be early or late, 0 to 0.5
+	Burst           int     // maximum number of starts at once; at least 1
+	MaxRunning      int     // maximum number of concurrent runs; at least 2
+	Jitter          float64 // maximum random deviation, as a fraction of the interval, 0 to 0.5
 }
 
 // maxJitter is the largest Budget.Jitter.
@@ -26,27 +24,27 @@
 
 func (b Budget) validate() error {
 	switch {
-	case !(b.StartsPerSecond > 0): // or not a number
-		return fmt.Errorf("%v starts a second: must be more than 0", b.StartsPerSecond)
+	case !(b.StartsPerSecond > 0): // written so that NaN is rejected, too
+		return fmt.Errorf("%v starts per second: must be more than 0", b.StartsPerSecond)
 	case b.Burst < 1:
-		return errors.New("a burst must be at least 1")
+		return fmt.Errorf("burst of %d starts: must be at least 1", b.Burst)
 	case b.MaxRunning < 2:
-		return errors.New("at least 2 runs at once: work that hangs may take half of them")
-	case !(b.Jitter >= 0 && b.Jitter <= maxJitter): // or not a number
-		return fmt.Errorf("jitter %v: 0 to %v", b.Jitter, maxJitter)
+		return fmt.Errorf("%d concurrent runs: must be at least 2, as hung tasks may occupy half", b.MaxRunning)
+	case !(b.Jitter >= 0 && b.Jitter <= maxJitter): // written so that NaN is rejected, too
+		return fmt.Errorf("jitter %v: must be 0 to %v", b.Jitter, maxJitter)
 	}
 	return nil
 }
 
-// Stats counts what a Scheduler did.
+// Stats are counters and delays of a Scheduler.
 type Stats struct {
 	Starts    uint64
-	Delayed   uint64        // calls of Advance that left a ready task waiting for the budget of starts
-	LastDelay time.Duration // of the last start, after its due time
+	Delayed   uint64        // calls of Advance after which a ready task waits for the budget of starts
+	LastDelay time.Duration // of the last start after its due time
 	MaxDelay  time.Duration // of any start
 }
 
-// Scheduler holds tasks. It is owned by one goroutine, and times must not go back.
+// Scheduler schedules tasks. It is owned by one goroutine. The times passed to it must not decrease.
 type Scheduler struct {
 	// Stats is read by the owner only.
 	Stats Stats
@@ -57,16 +55,16 @@
 	tasks       []task        // by id
 	freeIDs     []TaskID
 	ready       [priorityCount][laneCount]readyQueue
-	consecutive [priorityCount]int // starts since all priorities had their turn
-	tokens      float64            // starts that the budget allows now
-	now         time.Time          // when tokens was computed
+	consecutive [priorityCount]int // starts by priority since the last reset
+	tokens      float64            // starts that the budget allows at now
+	now         time.Time          // when tokens was last computed
 	running     int
-	runningHung int // of these, tasks of hungLane
+	runningHung int // number of these that are in hungLane
 	starts      []TaskID
 }
 
-// New returns a Scheduler without tasks, which takes ownership of the empty t. All random numbers come from seed.
-// An error says what is wrong with the budget.
+// New returns a Scheduler without tasks, which accepts ownership of the empty t. All random numbers are derived from
+// seed. It returns an error if the budget is invalid.
 func New(budget Budget, seed uint64, start time.Time, t timers.Timers) (*Scheduler, error) {
 	if err := budget.validate(); err != nil {
 		return nil, fmt.Errorf("scheduler: check budget: %w", err)
@@ -81,8 +79,8 @@
 	}, nil
 }
 
-// Add adds a task. Its first run is at a random time within firstWithin, so that tasks added together do not run
-// together.
+// Add adds a task. Its first run is at a random time within firstWithin, so that the runs of tasks that are added
+// together are spread.
 func (s *Scheduler) Add(now time.Time, t Task, firstWithin time.Duration) TaskID {
 	s.refill(now)
 	id := s.newID()
@@ -92,7 +90,7 @@
 	return id
 }
 
-// newID returns an id that no task has.
+// newID returns a free id.
 func (s *Scheduler) newID() TaskID {
 	if n := len(s.freeIDs); n > 0 {
 		id := s.freeIDs[n-1]
@@ -103,7 +101,7 @@
 	return TaskID(len(s.tasks) - 1)
 }
 
-// Remove removes a task. One that is running is removed once it is Done.
+// Remove removes a task. A running task is removed when its run is Done.
 func (s *Scheduler) Remove(id TaskID) {
 	t := &s.tasks[id]
 	switch t.state {
@@ -126,7 +124,7 @@
 	s.freeIDs = append(s.freeIDs, id)
 }
 
-// RunNow makes a waiting task due now and urgent. One that is running runs once more after that.
+// RunNow makes a waiting task due now and urgent. A running task runs again when its run is Done.
 func (s *Scheduler) RunNow(now time.Time, id TaskID) {
 	s.refill(now)
 	switch t := &s.tasks[id]; t.state {
@@ -140,8 +138,8 @@
 	}
 }
 
-// Done notes that a run has ended, and its result. hung says that it took up all the time it had, so that the
-// task's next run gets a part of the capacity only. A task that is not running is left as it is.
+// Done records the end of a run and its result. hung reports that the run used up its timeout: the task's next run is
+// then restricted to a part of the capacity. Done does nothing if the task is not running.
 func (s *Scheduler) Done(now time.Time, id TaskID, result Result, hung bool) {
 	s.refill(now)
 	t := &s.tasks[id]
@@ -152,7 +150,7 @@
 	if t.lane == hungLane {
 		s.runningHung--
 	}
-	t.lane = soundLane
+	t.lane = regularLane
 	if hung {
 		t.lane = hungLane
 	}
@@ -166,8 +164,8 @@
 // reschedule sets the due time of a task whose run has ended.
 func (s *Scheduler) reschedule(now time.Time, id TaskID, interval time.Duration) {
 	t := &s.tasks[id]
-	// The interval counts from the start of the last run, but at least half of it from the end: work that takes as
-	// long as its interval must not run all the time.
+	// The interval counts from the start of the last run, but at least half of it must elapse after the end, so that a
+	// task whose run lasts as long as its interval does not run all the time.
 	due := t.started.Add(s.jitter(interval))
 	if earliest := now.Add(interval / 2); due.Before(earliest) {
 		due = earliest
@@ -194,7 +192,7 @@
 	}
 }
 
-// enqueue puts a task that is due into its ready queue.
+// enqueue adds a due task to its ready queue.
 func (s *Scheduler) enqueue(id TaskID) {
 	t := &s.tasks[id]
 	t.state = stateReady
@@ -205,16 +203,16 @@
 	s.ready[priority][t.lane].push(readyEntry{id, t.generation})
 }
 
-// hasCapacity reports whether one more task of a lane may run. Tasks that hang get half of the runs at most, so
-// that they do not delay the sound ones.
+// hasCapacity reports whether one more task of a lane may run. Hung tasks may occupy at most half of the concurrent
+// runs, so that they do not delay the others.
 func (s *Scheduler) hasCapacity(l lane) bool {
 	if s.running >= s.budget.MaxRunning {
 		return false
 	}
-	return l == soundLane || s.runningHung < s.budget.MaxRunning/2
+	return l == regularLane || s.runningHung < s.budget.MaxRunning/2
 }
 
-// Advance returns the tasks that the owner is to start now, in order; each counts as running until it is Done. The
+// Advance returns the tasks that the owner has to start now, in order. Each counts as running until it is Done. The
 // slice is valid until the next call.
 func (s *Scheduler) Advance(now time.Time) []TaskID {
 	s.refill(now)
@@ -249,12 +247,12 @@
 	s.starts = append(s.starts, id)
 }
 
-// popReady removes the next ready task for which there is capacity: of the highest priority that has starts in a
-// row left, or if none has, of the highest priority.
+// popReady removes the next ready task for which there is capacity: of the highest priority that has not reached its
+// maxConsecutive, or if there is none, of the highest priority.
 func (s *Scheduler) popReady() (TaskID, bool) {
-	for _, respectTurns := range []bool{true, false} {
+	for _, limitConsecutive := range []bool{true, false} {
 		for priority := range priorityCount {
-			if respectTurns && s.consecutive[priority] >= maxConsecutive[priority] {
+			if limitConsecutive && s.consecutive[priority] >= maxConsecutive[priority] {
 				continue
 			}
 			if id, ok := s.popPriority(priority); ok {
@@ -281,7 +279,7 @@
 	return 0, false
 }
 
-// waitsForToken reports whether a ready task could start but for the budget of starts.
+// waitsForToken reports whether a ready task could start if the budget of starts allowed it.
 func (s *Scheduler) waitsForToken() bool {
 	for priority := range priorityCount {
 		for l := range laneCount {
@@ -293,7 +291,7 @@
 	return false
 }
 
-// Next returns when Advance should be called next if nothing else happens; ok is false if nothing is due.
+// Next returns when Advance has to be called next if no other method is called before; ok is false if nothing is due.
 func (s *Scheduler) Next() (t time.Time, ok bool) {
 	t, ok = s.timers.Next()
 	if !s.waitsForToken() {
@@ -309,11 +307,11 @@
 	return t, ok
 }
 
-// Due returns when a task was due to run last, or is due next.
+// Due returns the due time of a task's next run, or of its current one.
 func (s *Scheduler) Due(id TaskID) time.Time { return s.tasks[id].due }
 
 // Running returns the number of tasks that are running.
 func (s *Scheduler) Running() int { return s.running }
 
-// Len returns the number of tasks, those included that are removed once they are Done.
+// Len returns the number of tasks, including running ones that are removed.
 func (s *Scheduler) Len() int { return len(s.tasks) - len(s.freeIDs) }
--- a/internal/control/scheduler/scheduler_test.go
+++ b/internal/control/scheduler/scheduler_test.go
@@ -27,10 +27,10 @@
 	ends       []runEnd
 	starts     map[TaskID][]time.Time
 	maxRunning int
-	run        func(TaskID) run // decides what a run does
+	run        func(TaskID) run // returns the behavior of the next run of a task
 }
 
-// run is what a run of a task does.
+// run is the behavior of one run of a task.
 type run struct {
 	duration time.Duration
 	result   Result
@@ -52,7 +52,7 @@
 	}
 }
 
-// advanceTo starts and ends runs until a time.
+// advanceTo advances virtual time to end, and starts and ends the runs that are due until then.
 func (m *simulation) advanceTo(end time.Time) {
 	for {
 		m.startRuns()
@@ -78,7 +78,7 @@
 	m.maxRunning = max(m.maxRunning, m.s.Running())
 }
 
-// nextEvent returns when the scheduler or a run has something to do, at the latest end.
+// nextEvent returns the next time at which the scheduler is due or a run ends, at most end.
 func (m *simulation) nextEvent(end time.Time) time.Time {
 	next := end
 	if t, ok := m.s.Next(); ok && t.Before(next) {
@@ -109,7 +109,7 @@
 	return len(m.starts[id]) - before
 }
 
-// Tasks that were added together do not start together, and each keeps its interval.
+// Tasks that are added together do not start together, and each runs at its interval.
 func TestScheduler_StartsAreSpread(t *testing.T) {
 	s := newScheduler(t, Budget{StartsPerSecond: 10000, Burst: 1000, MaxRunning: 1000, Jitter: 0.1})
 	m := newSimulation(s)
@@ -117,7 +117,7 @@
 		s.Add(origin, Task{Priority: Normal, Interval: 2 * time.Second}, 2*time.Second)
 	}
 	m.advanceTo(origin.Add(60 * time.Second))
-	startsBySlot := map[int64]int{} // of 10 ms
+	startsBySlot := map[int64]int{} // by slot of 10 ms
 	for id, starts := range m.starts {
 		if len(starts) < 28 || len(starts) > 33 {
 			t.Errorf("task %d ran %d times in a minute", id, len(starts))
@@ -139,7 +139,8 @@
 	}
 }
 
-// Targets that hang take half of the capacity at most: the sound ones among 1,000 keep their interval.
+// Hanging targets occupy at most half of the capacity: of 1,000 targets, the 100 that do not hang are run at their
+// interval.
 func TestScheduler_HangingTargetsDelayNoOthers(t *testing.T) {
 	s := newScheduler(t, Budget{StartsPerSecond: 2000, Burst: 64, MaxRunning: 64, Jitter: 0.1})
 	m := newSimulation(s)
@@ -157,13 +158,13 @@
 	if m.maxRunning > 64 {
 		t.Errorf("%d runs at once", m.maxRunning)
 	}
-	// All targets count as sound until their first run has hung; after that the interval holds.
+	// All targets are in the regular lane until their first run has hung; the intervals are checked after that.
 	settled := origin.Add(40 * time.Second)
 	for id := TaskID(hanging); id < all; id++ {
 		starts := m.starts[id]
 		for i := 1; i < len(starts); i++ {
 			if interval := starts[i].Sub(starts[i-1]); starts[i].After(settled) && interval > 2300*time.Millisecond {
-				t.Fatalf("sound task %d waited %v", id, interval)
+				t.Fatalf("task %d, which does not hang, waited %v", id, interval)
 			}
 		}
 	}
@@ -174,7 +175,8 @@
 	}
 }
 
-// With more work than the budget allows nothing piles up, the budget holds, and priorities count but none starves.
+// With more work than the budget allows, the queues stay bounded, the budget is respected, higher priorities run more
+// often, and none starves.
 func TestScheduler_MoreWorkThanTheBudget(t *testing.T) {
 	s := newScheduler(t, Budget{StartsPerSecond: 100, Burst: 10, MaxRunning: 50, Jitter: 0.1})
 	m := newSimulation(s)
@@ -197,18 +199,18 @@
 		t.Errorf("starts by priority: %v", startsBy)
 	}
 	if s.Stats.Delayed == 0 {
-		t.Error("nothing was delayed")
+		t.Error("no task was counted as delayed")
 	}
 	for p := range priorityCount {
 		for l := range laneCount {
 			if n := len(s.ready[p][l].entries); n > 2500 {
-				t.Errorf("a queue of %d entries for 300 tasks", n)
+				t.Errorf("a ready queue has %d entries for 300 tasks, want at most 2500", n)
 			}
 		}
 	}
 }
 
-// A task runs at its fast interval after a change, at the slow one while down, at once by RunNow, and never after
+// A task runs at the fast interval after a change, at the slow one while down, at once after RunNow, and never after
 // Remove.
 func TestScheduler_IntervalsOfOneTask(t *testing.T) {
 	s := newScheduler(t, Budget{StartsPerSecond: 1000, Burst: 10, MaxRunning: 4})
@@ -241,11 +243,11 @@
 		t.Errorf("%d runs of a removed task; %d tasks left", n, s.Len())
 	}
 	if next, ok := s.Next(); ok {
-		t.Errorf("without tasks, something is due at %v", next)
+		t.Errorf("without tasks, Next returns %v", next)
 	}
 }
 
-// schedulerModel runs random operations on a Scheduler and knows which tasks exist and which run.
+// schedulerModel performs random operations on a Scheduler and tracks which tasks exist and which are running.
 type schedulerModel struct {
 	s       *Scheduler
 	random  *rand.Rand
@@ -285,7 +287,7 @@
 		Priority: Priority(m.random.IntN(3)), Interval: time.Second, FastInterval: 50 * time.Millisecond, FastRuns: 2,
 	}, time.Second)
 	if m.live[id] || m.running[id] {
-		t.Fatalf("id %d is given twice", id)
+		t.Fatalf("id %d was assigned twice", id)
 	}
 	m.live[id] = true
 }
@@ -310,8 +312,8 @@
 	}
 }
 
-// FuzzScheduler checks after random operations that the limits of concurrent runs hold, that only tasks that exist
-// and do not run are started, and that no two tasks have the same id.
+// FuzzScheduler checks after random operations that the limits of concurrent runs are respected, that only existing
+// tasks that are not running are started, and that no two tasks have the same id.
 func FuzzScheduler(f *testing.F) {
 	f.Add(uint64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
--- a/internal/control/scheduler/task.go
+++ b/internal/control/scheduler/task.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Priority of a task. Lower values come first; none starves.
+// Priority is the priority of a task. Lower values are preferred, but no priority starves.
 type Priority int
 
-// Priorities from first to last.
+// The priorities, from highest to lowest.
 const (
-	Urgent Priority = iota // somebody waits for the result
+	Urgent Priority = iota // a caller waits for the result
 	Normal                 // health checks
-	Idle                   // whatever has time
+	Idle                   // work that can wait
 	priorityCount
 )
 
-// maxConsecutive is how many starts in a row a priority gets while a lower one waits, so that the lower ones do
-// not starve however much work the higher ones have.
+// maxConsecutive is the maximum number of starts of each priority before the turn passes to the next lower one that
+// waits, so that no priority starves however much work the higher ones have.
 var maxConsecutive = [priorityCount]int{8, 4, 1}
 
-// Result is what a run of a task showed. It decides the interval to the next run.
+// Result is the result of a run of a task. It determines the interval to the next run.
 type Result int
 
-// Results of a run.
+// The results of a run.
 const (
-	Steady  Result = iota // nothing changed: the usual interval
-	Changed               // something changed: the fast interval for a while
-	Down                  // the target is still down: the slow interval
+	Steady  Result = iota // nothing changed
+	Changed               // something changed: FastRuns runs at FastInterval follow
+	Down                  // the target is still down: runs at SlowInterval
 )
 
-// Task is a piece of work that recurs.
+// Task is a recurring unit of work.
 type Task struct {
 	Priority     Priority
-	Interval     time.Duration // usual one, from start to start; negative: the task is removed after one run
+	Interval     time.Duration // from start to start; negative: the task is removed after one run
 	FastInterval time.Duration // after a change; 0: Interval
 	SlowInterval time.Duration // while down; 0: Interval
 	FastRuns     int           // runs at the fast interval after a change
 }
 
-// removedAfterRun is the interval of a task that is removed once its present run has ended.
+// removedAfterRun is the Task.Interval of a task that is removed when its current run is Done.
 const removedAfterRun = -1
 
-// TaskID identifies a task of a Scheduler. The id of a removed task is given to another one.
+// TaskID identifies a task of a Scheduler. The id of a removed task is reused.
 type TaskID int
 
 type taskState int8
@@ -51,11 +51,11 @@
 	stateRunning
 )
 
-// A lane holds tasks by how their last run ended. Tasks that hung get a part of the capacity only.
+// lane separates tasks whose last run hung, which are restricted to a part of the capacity, from all others.
 type lane int
 
 const (
-	soundLane lane = iota
+	regularLane lane = iota
 	hungLane
 	laneCount
 )
@@ -64,15 +64,15 @@
 	Task
 	state             taskState
 	lane              lane
-	due               time.Time // when it was due to run last, or is due next
-	started           time.Time // start of its last run
+	due               time.Time // of the next run, or of the current one
+	started           time.Time // when its last run started
 	remainingFastRuns int
-	urgent            bool   // its next run was asked for by RunNow
-	rerun             bool   // RunNow was called while it ran
-	generation        uint32 // changes with the task that has this id
+	urgent            bool   // its next run was requested by RunNow
+	rerun             bool   // RunNow was called during the current run
+	generation        uint32 // incremented when the id is assigned or freed
 }
 
-// nextInterval returns the interval from the last run to the next one, and counts the runs at the fast interval.
+// nextInterval returns the interval from the last run to the next, and updates remainingFastRuns.
 func (t *task) nextInterval(result Result) time.Duration {
 	if result == Changed {
 		t.remainingFastRuns = t.FastRuns
