--- a/internal/backend/healthcheck/check.go
+++ b/internal/backend/healthcheck/check.go
@@ -1,5 +1,5 @@
-// Package healthcheck makes active health checks of servers. Each check is a connection of its own, bounded in time and in
-// what it reads, whatever the server does: hangs, sends a byte a second, a megabyte, or nothing.
+// Package healthcheck performs active health checks of servers. Each check opens its own connection, and its duration
+// and the number of bytes that it reads are bounded, even if the server hangs, sends slowly or sends without end.
 package healthcheck
 
 import (
@@ -17,22 +17,22 @@
 	"rooktrestle/internal/protocol/z3950"
 )
 
-// userAgent names the program to the servers that it checks.
+// userAgent identifies the program to the servers that it checks.
 const userAgent = "rooktrestle-check"
 
-// Check is one check of one server. Run may be called several times, and by several goroutines at once.
+// Check is one check of one server. Run may be called repeatedly and concurrently.
 type Check struct {
 	Profile *config.CheckProfile
 	Addr    string     // of the server's check port
-	Bridge  string     // of gRPC checks: the address of grpchealth
-	Dial    tcp.Dialer // tcp.DialServerFirst outside tests: agents speak first and close
+	Bridge  string     // address of grpchealth, for gRPC checks
+	Dial    tcp.Dialer // tcp.DialServerFirst outside tests, since agents send first and close the connection
 }
 
-// Result is what a check found.
+// Result is the result of a check.
 type Result struct {
 	health.CheckResult
-	TimedOut bool  // it took all its time
-	Err      error // why no answer could be used; nil if there was one, good or bad
+	TimedOut bool  // the timeout elapsed
+	Err      error // why there was no usable answer; nil if there was one, healthy or not
 }
 
 var (
@@ -42,25 +42,25 @@
 	errInitRejected = errors.New("init: the association is refused")
 )
 
-// failed is the result of a check that found no usable answer.
+// failed returns the result of a check without a usable answer.
 func failed(err error) Result {
 	result := health.CheckResult{Failed: true, Weight: -1, MaxConn: -1, Reason: err.Error()}
 	return Result{CheckResult: result, Err: err}
 }
 
-// passed is the result of a check whose answer says nothing beyond that.
+// passed returns the result of a successful check whose answer gives neither states nor limits.
 func passed() Result {
 	return Result{CheckResult: health.CheckResult{Weight: -1, MaxConn: -1}}
 }
 
-// exchange is what a kind of check sends, where to, and how it reads the answer.
+// exchange describes what a kind of check sends, to which address, and how the answer is decoded.
 type exchange struct {
 	addr    string
-	request []byte  // empty: the server speaks first, or nothing is said
+	request []byte  // empty: the server sends first, or nothing is sent
 	decoder decoder // nil: no answer is read
 }
 
-// Run makes the check. It blocks for the profile's timeout at most.
+// Run performs the check. It blocks for at most the profile's timeout.
 func (c Check) Run() Result {
 	timeout := c.Profile.Timeout.Duration
 	deadline := time.Now().Add(timeout)
@@ -91,7 +91,7 @@
 	}
 }
 
-// exchange returns what the profile's kind of check sends, and how it reads the answer.
+// exchange returns the exchange for the profile's kind of check.
 func (c Check) exchange() exchange {
 	profile := c.Profile
 	switch profile.Kind {
@@ -101,14 +101,14 @@
 		return exchange{
 			addr:    c.Addr,
 			request: c.httpRequest(profile.Method, profile.Path, "User-Agent", userAgent),
-			decoder: newHTTPDecoder(profile.Method, c.judgeHTTP),
+			decoder: newHTTPDecoder(profile.Method, c.evaluateHTTP),
 		}
 	case config.CheckSRU:
 		target := "/" + url.PathEscape(profile.Database) + "?operation=explain&version=1.2"
 		return exchange{
 			addr:    c.Addr,
 			request: c.httpRequest("GET", target),
-			decoder: newHTTPDecoder("GET", judgeExplain),
+			decoder: newHTTPDecoder("GET", evaluateExplain),
 		}
 	case config.CheckZ3950:
 		return exchange{addr: c.Addr, request: initRequest(), decoder: &initDecoder{}}
@@ -117,33 +117,33 @@
 		return exchange{
 			addr:    c.Bridge,
 			request: http1.Request("GET", "/check?"+query.Encode(), c.Bridge, nil, "Connection", "close"),
-			decoder: newHTTPDecoder("GET", judgeBridge),
+			decoder: newHTTPDecoder("GET", evaluateBridge),
 		}
 	}
 	return exchange{addr: c.Addr}
 }
 
-// httpRequest returns a request to the server, with more fields of the header as names and values in turn.
+// httpRequest returns a request to the server. fields are additional header fields, as alternating names and values.
 func (c Check) httpRequest(method, target string, fields ...string) []byte {
 	host := cmp.Or(c.Profile.Host, c.Addr)
 	return http1.Request(method, target, host, nil, append([]string{"Connection", "close"}, fields...)...)
 }
 
-// judgeHTTP judges an HTTP answer by the profile's expectation.
-func (c Check) judgeHTTP(response *http1.Message) Result {
-	judged := c.Profile.Expectation.Judge(response.Status, response.Header.Get, response.Body)
+// evaluateHTTP evaluates an HTTP answer by the profile's expectation.
+func (c Check) evaluateHTTP(response *http1.Message) Result {
+	evaluation := c.Profile.Expectation.Judge(response.Status, response.Header.Get, response.Body)
 	result := Result{CheckResult: health.CheckResult{
-		Failed:    !judged.Healthy,
-		Immediate: judged.Immediate,
-		Degraded:  judged.Degraded,
+		Failed:    !evaluation.Healthy,
+		Immediate: evaluation.Immediate,
+		Degraded:  evaluation.Degraded,
 		Weight:    -1,
 		MaxConn:   -1,
-		Reason:    judged.Reason,
+		Reason:    evaluation.Reason,
 	}}
 	switch {
-	case judged.Drain:
+	case evaluation.Drain:
 		result.Admin = health.Drain
-	case judged.Healthy:
+	case evaluation.Healthy:
 		result.Admin = health.Ready
 	default:
 		result.Admin = health.AdminUnset
@@ -151,8 +151,8 @@
 	return result
 }
 
-// judgeBridge judges the answer of grpchealth, which makes gRPC checks for this program.
-func judgeBridge(response *http1.Message) Result {
+// evaluateBridge evaluates the answer of grpchealth, which performs gRPC checks for this program.
+func evaluateBridge(response *http1.Message) Result {
 	if response.Status == 200 {
 		return passed()
 	}
@@ -170,7 +170,7 @@
 	).Encode(nil)
 }
 
-// dialCause is what is wrong with a dial without its address, which stands beside it anyway.
+// dialCause returns the cause of a dial error without the address, which is shown next to it anyway.
 func dialCause(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Err != nil {
--- a/internal/backend/healthcheck/check_test.go
+++ b/internal/backend/healthcheck/check_test.go
@@ -21,9 +21,9 @@
 const (
 	longTimeout  = 30 * time.Second // no test reaches it
 	shortTimeout = 50 * time.Millisecond
-	// deadAddr is where nobody listens: the system gives port 1 to no listener. The port of a server that is gone may be
-	// another process's by now.
-	deadAddr = "127.0.0.1:1"
+	// refusingAddr is an address that refuses connections, since the system assigns port 1 to no listener. The port of
+	// a stopped server could be in use by another process already.
+	refusingAddr = "127.0.0.1:1"
 )
 
 func newProfile(t *testing.T, kind string, timeout time.Duration) *config.CheckProfile {
@@ -50,12 +50,12 @@
 }
 
 func run(profile *config.CheckProfile, addr string) Result {
-	return Check{Profile: profile, Addr: addr, Dial: dialPatiently}.Run()
+	return Check{Profile: profile, Addr: addr, Dial: dialWithLongTimeout}.Run()
 }
 
-// dialPatiently leaves the check's time-out to the answer. On a busy machine the dial alone may take longer than
-// shortTimeout, and it would depend on the load where the check's time is over.
-func dialPatiently(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
+// dialWithLongTimeout dials with longTimeout, so that a check's timeout elapses only while it waits for the answer. On
+// a busy machine the dial alone may take longer than shortTimeout, and the load would decide where the check times out.
+func dialWithLongTimeout(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
 	return tcp.DialServerFirst(addr, longTimeout, handler)
 }
 
@@ -103,7 +103,7 @@
 		t.Errorf("%+v", r)
 	}
 	if received := agent.Received(); len(received) != 1 || received[0] != "captions\n" {
-		t.Errorf("it received %q", received)
+		t.Errorf("the agent received %q", received)
 	}
 	agent.Set("maint", replica.RespondToSend)
 	r := run(profile, agent.Addr())
@@ -116,7 +116,7 @@
 	}
 }
 
-// What agents do wrong ends within the timeout and with a reason.
+// A check of a faulty agent fails within the timeout and with a reason.
 func TestCheck_AgentFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		behavior replica.AgentBehavior
@@ -141,14 +141,14 @@
 			}
 		})
 	}
-	t.Run("is gone", func(t *testing.T) {
-		if r := run(newProfile(t, config.CheckAgent, longTimeout), deadAddr); !r.Failed || r.TimedOut {
+	t.Run("refuses connections", func(t *testing.T) {
+		if r := run(newProfile(t, config.CheckAgent, longTimeout), refusingAddr); !r.Failed || r.TimedOut {
 			t.Errorf("%+v", r)
 		}
 	})
 }
 
-// Each kind against a server that is well, rejects the check, hangs, and is gone.
+// Each kind of check against a server that is healthy, rejects the check, hangs, and refuses the connection.
 func TestCheck_Kinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind      string
@@ -168,8 +168,8 @@
 			if c.kind != config.CheckTCP {
 				checkFaults(t, c.kind, server)
 			}
-			if r := run(newProfile(t, c.kind, longTimeout), deadAddr); !r.Failed || r.TimedOut {
-				t.Errorf("of nobody: %+v", r)
+			if r := run(newProfile(t, c.kind, longTimeout), refusingAddr); !r.Failed || r.TimedOut {
+				t.Errorf("connection refused: %+v", r)
 			}
 		})
 	}
@@ -224,9 +224,9 @@
 	}
 }
 
-// A gRPC check goes through the bridge, which is given the server's own address.
+// A gRPC check is sent to the bridge with the address of the server.
 func TestCheck_GRPCGoesThroughBridge(t *testing.T) {
-	var requested atomic.Value // the URL, as the bridge received it
+	var requested atomic.Value // URL that the bridge received last
 	bridge := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requested.Store(r.URL.String())
 		if r.URL.Query().Get("service") != "captions" {
@@ -253,31 +253,32 @@
 	}
 }
 
-// A server that sends on after its answer was judged costs nothing more.
+// A check closes the connection once it has evaluated the answer, even if the server continues to send.
 func TestCheck_ReadsNoMoreThanItJudges(t *testing.T) {
-	const endless = 256 << 20
+	const maxBytes = 256 << 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // the test is over
+	defer func() { _ = listener.Close() }() // the test has ended
 	sent := make(chan int, 1)
-	go func() { sent <- sendZeros(listener, endless) }()
+	go func() { sent <- sendZeros(listener, maxBytes) }()
 	if r := run(newProfile(t, config.CheckAgent, longTimeout), listener.Addr().String()); !r.Failed {
 		t.Errorf("%+v", r)
 	}
-	if n := <-sent; n >= endless {
-		t.Errorf("%d bytes were taken", n)
+	if n := <-sent; n >= maxBytes {
+		t.Errorf("the check accepted all of %d bytes", n)
 	}
 }
 
-// sendZeros accepts a connection, sends so many bytes on it, or as many as it takes, and returns how many those were.
+// sendZeros accepts a connection and sends bytes on it, until it has sent count or the connection fails. It returns the
+// number of bytes sent.
 func sendZeros(listener net.Listener, count int) (sent int) {
 	c, err := listener.Accept()
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = c.Close() }() // whatever was written counts as sent
+	defer func() { _ = c.Close() }() // all that was written counts as sent
 	for b := make([]byte, 64<<10); sent < count; {
 		n, err := c.Write(b)
 		sent += n
--- a/internal/backend/healthcheck/decoder.go
+++ b/internal/backend/healthcheck/decoder.go
@@ -12,22 +12,23 @@
 	"rooktrestle/internal/protocol/z3950"
 )
 
-// decoder decodes the answer to one check. Either method reports whether it has a result; after that none is called.
+// decoder decodes the answer to one check. Both methods report whether they return a result. Neither is called after
+// one has.
 type decoder interface {
 	feed(b []byte) (Result, bool)
-	// end takes the end of the stream.
+	// end handles the end of the stream.
 	end() (Result, bool)
 }
 
-// answerReader is the tcp.Handler of a check's connection. Once it has a result it drops what follows.
+// answerReader is the tcp.Handler of a check's connection. Once it has a result it drops all further bytes.
 type answerReader struct {
 	decoder decoder // nil: nothing is read
 	decoded bool
-	result  Result        // once done is closed
-	done    chan struct{} // closed with the result
+	result  Result        // valid once done is closed
+	done    chan struct{} // closed when result is set
 }
 
-// Data takes the bytes of one read.
+// Data handles the bytes of one read.
 func (r *answerReader) Data(b []byte) {
 	if r.decoded || r.decoder == nil {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// Closed takes the end of the connection.
+// Closed handles the end of the connection.
 func (r *answerReader) Closed(err error) {
 	if r.decoded || r.decoder == nil {
 		return
@@ -58,7 +59,7 @@
 	close(r.done)
 }
 
-// agentDecoder decodes the line of an agent.
+// agentDecoder decodes the line that an agent sends.
 type agentDecoder struct{ line agentcheck.Reader }
 
 func (d *agentDecoder) feed(data []byte) (Result, bool) {
@@ -100,15 +101,15 @@
 	return result
 }
 
-// httpDecoder decodes one HTTP answer and judges it.
+// httpDecoder decodes one HTTP answer and evaluates it.
 type httpDecoder struct {
-	parser http1.Parser
-	head   *http1.Message // of the answer to a HEAD request, which has no body, whatever length it states
-	judge  func(*http1.Message) Result
+	parser   http1.Parser
+	head     *http1.Message // of the answer to a HEAD request, which has no body whatever its Content-Length is
+	evaluate func(*http1.Message) Result
 }
 
-func newHTTPDecoder(method string, judge func(*http1.Message) Result) *httpDecoder {
-	d := &httpDecoder{parser: http1.Parser{Responses: true}, judge: judge}
+func newHTTPDecoder(method string, evaluate func(*http1.Message) Result) *httpDecoder {
+	d := &httpDecoder{parser: http1.Parser{Responses: true}, evaluate: evaluate}
 	if method == "HEAD" {
 		d.parser.Head = func(m *http1.Message) { d.head = m }
 	}
@@ -126,20 +127,20 @@
 	case err != nil:
 		return failed(err), true
 	case m != nil:
-		return d.judge(m), true
+		return d.evaluate(m), true
 	}
 	return Result{}, false
 }
 
 func (d *httpDecoder) end() (Result, bool) {
 	if m := d.parser.End(); m != nil {
-		return d.judge(m), true
+		return d.evaluate(m), true
 	}
 	return Result{}, false
 }
 
-// judgeExplain judges the answer to an SRU explain request.
-func judgeExplain(response *http1.Message) Result {
+// evaluateExplain evaluates the answer to an SRU explain request.
+func evaluateExplain(response *http1.Message) Result {
 	var root struct{ XMLName xml.Name }
 	switch err := xml.Unmarshal(response.Body, &root); {
 	case response.Status != 200:
