--- a/internal/frontend/health/agent.go
+++ b/internal/frontend/health/agent.go
@@ -11,22 +11,22 @@
 // maxDatabaseName is the longest database name that an agent-check may send, in bytes.
 const maxDatabaseName = 256
 
-// Agent returns the handler of an agent-check connection: it sends one line and closes the connection.
-func (t *Responder) Agent(conn *tcp.Conn) tcp.Handler { return &agentConn{responder: t, conn: conn} }
+// Agent returns the handler of an agent-check connection, which sends one line and closes the connection.
+func (r *Responder) Agent(conn *tcp.Conn) tcp.Handler { return &agentConn{responder: r, conn: conn} }
 
-// agentConn is one agent-check connection. A client that sends the name of a database (HAProxy's agent-send) is sent the
-// state of that database.
+// agentConn is one agent-check connection. A client that sends the name of a database (HAProxy's agent-send) receives
+// the state of that database.
 type agentConn struct {
 	responder *Responder
 	conn      *tcp.Conn
 
 	mu       sync.Mutex
-	received []byte // towards the name of a database
+	received []byte // beginning of the line with the name of a database
 	done     bool   // the reply has been sent, or the connection is closed
 	timer    *time.Timer
 }
 
-// Opened replies at once, or after the time in which the client may name a database.
+// Opened replies at once if Responder.Wait is 0, else after Wait unless the name of a database has arrived before.
 func (a *agentConn) Opened() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,8 +41,8 @@
 	})
 }
 
-// reply sends the line on a database, or on the aggregator if the name is empty, unless the reply was sent before. It is
-// called with the lock held.
+// reply sends the line for a database, or for the aggregator if the name is empty, unless a reply was sent already. The
+// caller must hold the lock.
 func (a *agentConn) reply(database string) {
 	if a.done {
 		return
@@ -54,7 +54,7 @@
 	a.conn.CloseGracefully()
 }
 
-// Data reads the name of a database, up to the end of its line.
+// Data reads the name of a database, up to the end of the line, and replies.
 func (a *agentConn) Data(b []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// Closed stops the timer; nothing is sent any more.
+// Closed stops the timer. No reply is sent after it.
 func (a *agentConn) Closed(error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/frontend/health/health.go
+++ b/internal/frontend/health/health.go
@@ -1,6 +1,6 @@
-// Package health serves the aggregator's own health to load balancers and orchestrators: by HAProxy's agent-check and by
-// HTTP health checks. The readiness report is made on the event loop; this package only encodes it. A report that is too
-// old shows that the event loop is blocked, and is served as down.
+// Package health serves the aggregator's own health to load balancers and orchestrators, by HAProxy's agent-check and
+// by HTTP health checks. The event loop creates the readiness report; this package only encodes it. An overdue report
+// means that the event loop is blocked, and is served as down.
 package health
 
 import (
@@ -13,17 +13,18 @@
 	"rooktrestle/internal/protocol/agentcheck"
 )
 
-// maxReportAge is the age from which a report no longer counts. The event loop makes a new one every 50 ms.
+// maxReportAge is the age beyond which a report is overdue. The event loop creates a new one every 50 ms.
 const maxReportAge = 700 * time.Millisecond
 
-// Responder serves the latest readiness report. Its exported fields are set before the first call and not changed later.
-// All methods may be called from any goroutine.
+// Responder serves the latest readiness report. Its exported fields must be set before the first call and not be
+// changed afterwards. All methods may be called from any goroutine.
 type Responder struct {
 	Now func() time.Time
-	// Wait is how long an agent-check may take to name a database; 0: no name is read, and the reply is sent at once.
+	// Wait is how long the reply to an agent-check waits for the name of a database; 0: no name is read, and the reply
+	// is sent at once.
 	Wait time.Duration
-	// Servers, if set, returns the health of the backend servers as JSON. It is called off the event loop and may wait
-	// for it.
+	// Servers, if set, returns the health of the backend servers as JSON. It is called outside the event loop and may
+	// wait for it.
 	Servers func() []byte
 	// Metrics, if set, returns the counters as text.
 	Metrics func() string
@@ -32,18 +33,18 @@
 	count  struct{ agent, http, overdue atomic.Uint64 }
 }
 
-// Set replaces the report. The event loop calls it with each new one.
-func (t *Responder) Set(report readiness.Report) { t.latest.Store(&report) }
+// Set replaces the report. The event loop calls it with each new report.
+func (r *Responder) Set(report readiness.Report) { r.latest.Store(&report) }
 
-// Report returns the latest report. Before the first one, and once the latest is overdue, it returns one that is down and
-// says so as its reason. Its reasons and databases are shared and must not be changed.
-func (t *Responder) Report() readiness.Report {
-	latest := t.latest.Load()
+// Report returns the latest report. Before the first one, and when the latest is overdue, it returns a report that is
+// down and gives this as its reason. The slices of the result are shared and must not be changed.
+func (r *Responder) Report() readiness.Report {
+	latest := r.latest.Load()
 	if latest == nil {
 		return readiness.Report{State: readiness.Down, StateText: "down", Reasons: []string{"starting"}, Weight: 1}
 	}
-	if age := t.Now().Sub(latest.At); age > maxReportAge {
-		t.count.overdue.Add(1)
+	if age := r.Now().Sub(latest.At); age > maxReportAge {
+		r.count.overdue.Add(1)
 		reason := fmt.Sprintf("the loop stands still since %v", age.Round(100*time.Millisecond))
 		return readiness.Report{At: latest.At, State: readiness.Down, StateText: "down", Weight: 1,
 			Draining: latest.Draining, Reasons: []string{reason}}
@@ -52,11 +53,12 @@
 }
 
 // Counters returns how many agent-checks and HTTP health checks were served, and how often the report was overdue.
-func (t *Responder) Counters() (agent, http, overdue uint64) {
-	return t.count.agent.Load(), t.count.http.Load(), t.count.overdue.Load()
+func (r *Responder) Counters() (agent, http, overdue uint64) {
+	return r.count.agent.Load(), r.count.http.Load(), r.count.overdue.Load()
 }
 
-// agentReport converts a report to that of an agent-check, for the aggregator or, if database is not empty, for that one.
+// agentReport converts a report to an agent-check report, on the aggregator or, if database is not empty, on that
+// database.
 func agentReport(report readiness.Report, database string) agentcheck.Report {
 	state, reason := report.State, strings.Join(report.Reasons, "; ")
 	if database != "" {
--- a/internal/frontend/health/health_test.go
+++ b/internal/frontend/health/health_test.go
@@ -22,7 +22,7 @@
 func (c *fakeConn) Close(error)                             {}
 func (c *fakeConn) PeerClosed() bool                        { return false }
 
-// get makes a health check and returns the response as it is written.
+// get performs an HTTP health check and returns the response as written to the connection.
 func get(t *testing.T, responder *Responder, target string) string {
 	t.Helper()
 	conn := &fakeConn{}
@@ -31,7 +31,7 @@
 	return conn.written.String()
 }
 
-// newResponder returns a Responder whose report was made some time ago.
+// newResponder returns a Responder with a report of the given age.
 func newResponder(age time.Duration, state readiness.State, draining bool) *Responder {
 	responder := &Responder{Now: func() time.Time { return start.Add(age) }}
 	responder.Set(readiness.Report{
@@ -54,7 +54,7 @@
 	name      string
 	responder *Responder
 	target    string
-	want      []string // all are in the response
+	want      []string // substrings of the response
 }{
 	{
 		name:      "up",
@@ -111,7 +111,7 @@
 		want:      []string{"HTTP/1.1 200 ", "live\n"},
 	},
 	{
-		name:      "live with a report that is just in time",
+		name:      "live with a report of the maximum age",
 		responder: newResponder(maxReportAge, readiness.Up, false),
 		target:    "/livez",
 		want:      []string{"HTTP/1.1 200 "},
@@ -135,7 +135,7 @@
 		want:      []string{"HTTP/1.1 503 ", "down #starting\n"},
 	},
 	{
-		name:      "an unknown page is no drain",
+		name:      "an unknown page is not reported as a drain",
 		responder: upResponder,
 		target:    "/nothing",
 		want:      []string{"HTTP/1.1 400 "},
--- a/internal/frontend/health/http.go
+++ b/internal/frontend/health/http.go
@@ -10,64 +10,64 @@
 	"rooktrestle/internal/protocol/httpcheck"
 )
 
-// plainText is the header of replies in plain text.
+// plainText contains the header fields of replies in plain text.
 var plainText = []string{"Content-Type", "text/plain; charset=utf-8"}
 
-// databaseMarks are the marks of databases in a verbose reply.
+// databaseMarks are the marks of databases by their state in a verbose reply.
 var databaseMarks = map[readiness.State]string{readiness.Up: "+", readiness.Degraded: "~", readiness.Down: "-"}
 
 // HTTP answers an HTTP health check.
 //
-//	/livez             200 while the event loop makes reports, 503 otherwise
-//	/readyz, /healthz  200 while queries are accepted; 404 while draining, which load balancers take as a drain; 503
-//	                   while down. Followed by /DATABASE, it is the state of that database.
-//	?verbose           adds every database and its reason; ?format=json is the same for scripts
+//	/livez             200 while the event loop creates reports, 503 otherwise
+//	/readyz, /healthz  200 while queries are accepted; 404 while draining, which load balancers treat as a drain; 503
+//	                   while down. Followed by /DATABASE, the same for that database.
+//	?verbose           adds the state and the reason of every database; ?format=json returns the report as JSON
 //	/servers           the health of the backend servers, as JSON
 //	/metrics           the counters
 //
-// Degraded and draining are also sent as Envoy's health check headers.
-func (t *Responder) HTTP(exchange *httpserve.Exchange) {
-	t.count.http.Add(1)
+// Degraded and draining are also reported in Envoy's health check headers.
+func (r *Responder) HTTP(exchange *httpserve.Exchange) {
+	r.count.http.Add(1)
 	path, query, _ := strings.Cut(exchange.Target, "?")
 	if exchange.Method != "GET" && exchange.Method != "HEAD" && exchange.Method != "OPTIONS" {
 		exchange.Respond(405, nil, "Allow", "GET, HEAD, OPTIONS")
 		return
 	}
 	page, database, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	report := t.Report()
+	report := r.Report()
 	switch page {
 	case "livez":
-		t.respondLive(exchange, report)
+		r.respondLive(exchange, report)
 	case "readyz", "healthz":
 		respondReady(exchange, report, database, query)
 	case "servers":
-		if t.Servers == nil {
+		if r.Servers == nil {
 			exchange.Respond(404, []byte("no such page\n"))
 			return
 		}
-		exchange.Respond(200, t.Servers(), "Content-Type", "application/json")
+		exchange.Respond(200, r.Servers(), "Content-Type", "application/json")
 	case "metrics":
-		if t.Metrics == nil {
+		if r.Metrics == nil {
 			exchange.Respond(404, []byte("no such page\n"))
 			return
 		}
-		exchange.Respond(200, []byte(t.Metrics()), plainText...)
+		exchange.Respond(200, []byte(r.Metrics()), plainText...)
 	default:
-		// Not 404, which load balancers would take as a drain.
+		// Not 404, which load balancers would treat as a drain.
 		exchange.Respond(400, []byte("no such page\n"), plainText...)
 	}
 }
 
-// respondLive says whether the event loop has made a report lately.
-func (t *Responder) respondLive(exchange *httpserve.Exchange, report readiness.Report) {
-	if report.At.IsZero() || t.Now().Sub(report.At) > maxReportAge {
+// respondLive reports whether the event loop creates reports: the latest is not overdue.
+func (r *Responder) respondLive(exchange *httpserve.Exchange, report readiness.Report) {
+	if report.At.IsZero() || r.Now().Sub(report.At) > maxReportAge {
 		exchange.Respond(503, []byte(strings.Join(report.Reasons, "; ")+"\n"), plainText...)
 		return
 	}
 	exchange.Respond(200, []byte("live\n"), plainText...)
 }
 
-// respondReady says whether queries are accepted, by the aggregator or, if database is not empty, for that one.
+// respondReady reports whether queries are accepted, by the aggregator or, if database is not empty, for that database.
 func respondReady(exchange *httpserve.Exchange, report readiness.Report, database, query string) {
 	state := report.State
 	if database != "" {
@@ -103,7 +103,7 @@
 	exchange.Respond(status, []byte(body), fields...)
 }
 
-// databaseLines prints the state of each database on a line.
+// databaseLines returns a line for each database with its state and reason.
 func databaseLines(databases []readiness.DatabaseReport) string {
 	var lines strings.Builder
 	for _, database := range databases {
