--- a/internal/frontend/grpchealth/checker.go
+++ b/internal/frontend/grpchealth/checker.go
@@ -14,32 +14,36 @@
 )
 
 const (
-	maxConns         = 1024        // servers with a connection; beyond it the one unused for longest is closed
-	connIdleTimeout  = time.Minute // an unused connection is closed after it
-	maxChecks        = 256         // that run at once
+	maxConns         = 1024        // to servers; beyond it the connection that is unused for longest is closed
+	connIdleTimeout  = time.Minute // after which an unused connection is closed
+	maxChecks        = 256         // that run concurrently
 	maxCheckTimeout  = time.Minute
 	maxCheckResponse = 64 << 10 // bytes
 )
 
-// Checker checks gRPC servers on behalf of an aggregator, which asks over HTTP: GET /check?addr=&service=&timeout=. The
-// response has status 200 if the server serves, 503 if it says that it does not (or if too many checks run), and 502 if it
-// gave no answer; the body says why. Connections are kept for further checks until Close.
+// Checker checks gRPC servers on behalf of an aggregator, which requests each check over HTTP:
+//
+//	GET /check?addr=&service=&timeout=
+//
+// The response has status 200 if the server is serving, 503 if it reports that it is not (or if too many checks are
+// running), and 502 if it did not answer; the body contains the reason. Connections are retained for further checks
+// until Close.
 type Checker struct {
 	mu     sync.Mutex
 	conns  map[string]*clientConn // by the server's address
-	checks chan struct{}          // holds one element for each running check
+	checks chan struct{}          // semaphore with one element for each running check
 }
 
 // clientConn is a connection to a server.
 type clientConn struct {
 	conn     *grpc.ClientConn
 	lastUsed time.Time
-	users    int // checks that run on it
+	users    int // number of checks that use it
 }
 
-// close closes the connection. A check that runs on it fails.
+// close closes the connection. Checks that use it fail.
 func (c *clientConn) close() {
-	_ = c.conn.Close() // it fails only for a connection that is closed already
+	_ = c.conn.Close() // fails only if the connection is closed already
 }
 
 // NewChecker returns a Checker without connections.
@@ -71,11 +75,12 @@
 	case serving != healthpb.HealthCheckResponse_SERVING:
 		http.Error(w, serving.String(), http.StatusServiceUnavailable)
 	default:
-		_, _ = fmt.Fprintln(w, serving) // a client that has disconnected needs no answer
+		_, _ = fmt.Fprintln(w, serving) // fails only if the client has disconnected
 	}
 }
 
-// check calls Check of a server. The error holds the status code and the message of the call; it is sent to the aggregator.
+// check calls Check on a server. The error contains the status code and the message of the call; it is sent to the
+// aggregator.
 func (c *Checker) check(ctx context.Context, addr, service string) (ServingStatus, error) {
 	client, err := c.acquire(addr)
 	if err != nil {
@@ -91,8 +96,8 @@
 	return response.GetStatus(), nil
 }
 
-// acquire returns the connection to a server, which is in use until release. It first closes the connections that are
-// unused for too long.
+// acquire returns the connection to a server, which is in use until release. It first closes the connections that have
+// been unused for more than connIdleTimeout.
 func (c *Checker) acquire(addr string) (*clientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +123,8 @@
 	return client, nil
 }
 
-// closeIdle closes the connections that are unused for too long, and returns the address of the one of the others that is
-// unused for longest; empty if all are in use. It is called with the lock held.
+// closeIdle closes the connections that have been unused for more than connIdleTimeout, and returns the address of the
+// remaining one that is unused for longest; empty if all are in use. The caller must hold the lock.
 func (c *Checker) closeIdle(now time.Time) (oldest string) {
 	for addr, client := range c.conns {
 		switch {
@@ -141,7 +146,7 @@
 	c.mu.Unlock()
 }
 
-// Close closes all connections. Checks that still run on them fail.
+// Close closes all connections. Checks that still use them fail.
 func (c *Checker) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/grpchealth/checker_test.go
+++ b/internal/frontend/grpchealth/checker_test.go
@@ -12,7 +12,7 @@
 	libhealth "google.golang.org/grpc/health"
 )
 
-// getCheck asks an Asker over HTTP for a check.
+// getCheck requests a check from a Checker over HTTP.
 func getCheck(t *testing.T, web *httptest.Server, addr, service, timeout string) (status int, body string) {
 	t.Helper()
 	params := url.Values{"addr": {addr}, "service": {service}, "timeout": {timeout}}
@@ -48,11 +48,11 @@
 		name                   string
 		addr, service, timeout string
 		status                 int
-		body                   string // is in it
+		body                   string // substring
 	}{
-		{"the service serves", server, "captions", "30s", http.StatusOK, "SERVING"},
-		{"the server as a whole serves", server, "", "30s", http.StatusOK, "SERVING"},
-		{"the service does not serve", server, "coverage", "30s", http.StatusServiceUnavailable, "NOT_SERVING"},
+		{"the service is serving", server, "captions", "30s", http.StatusOK, "SERVING"},
+		{"the server as a whole is serving", server, "", "30s", http.StatusOK, "SERVING"},
+		{"the service is not serving", server, "coverage", "30s", http.StatusServiceUnavailable, "NOT_SERVING"},
 		{"the service is unknown", server, "nothing", "30s", http.StatusBadGateway, "NotFound"},
 		{"nothing listens", stopped.Addr().String(), "", "30s", http.StatusBadGateway, "Unavailable"},
 		{"the server does not answer", serveGRPC(t, unresponsive{}), "", "50ms", http.StatusBadGateway, "DeadlineExceeded"},
@@ -68,6 +68,6 @@
 		})
 	}
 	if len(checker.conns) != 3 {
-		t.Errorf("%d connections are kept, want 3", len(checker.conns))
+		t.Errorf("%d connections are retained, want 3", len(checker.conns))
 	}
 }
--- a/internal/frontend/grpchealth/helpers_test.go
+++ b/internal/frontend/grpchealth/helpers_test.go
@@ -44,8 +44,8 @@
 	return listener.Addr().String()
 }
 
-// serveAggregator runs a stand-in for an aggregator's health listener until the test ends. It answers with the report that
-// was set last, and breaks the connection while that is empty.
+// serveAggregator runs a fake of an aggregator's health listener until the test ends. It answers with the report that
+// was set last, and closes the connection without an answer while that is empty.
 func serveAggregator(t *testing.T) (addr string, setReport func(text string)) {
 	t.Helper()
 	var current atomic.Value
@@ -55,13 +55,13 @@
 		if text == "" {
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(w, text) // the poll may have been cancelled
+		_, _ = io.WriteString(w, text) // the poll may have been canceled
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://"), func(text string) { current.Store(text) }
 }
 
-// reportText is a report on an aggregator with one database.
+// reportText returns the JSON of the report on an aggregator with one database.
 func reportText(state string, drain bool, databaseState string) string {
 	return fmt.Sprintf(`{"state":%q,"drain":%v,"databases":[{"database":"Captions","state":%q}]}`, state, drain, databaseState)
 }
--- a/internal/frontend/grpchealth/poll.go
+++ b/internal/frontend/grpchealth/poll.go
@@ -11,10 +11,10 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// maxReport is the longest report that is read, in bytes.
+// maxReport is the maximum length of a report, in bytes.
 const maxReport = 1 << 20
 
-// report is what the aggregator's health listener sends of itself.
+// report is the part of the aggregator's readiness report that is used here.
 type report struct {
 	State     string `json:"state"`
 	Draining  bool   `json:"drain"`
@@ -24,8 +24,8 @@
 	} `json:"databases"`
 }
 
-// poll reads the aggregator's report and returns the statuses of its services. The HTTP status is left aside, as the body
-// says more.
+// poll reads the aggregator's report and returns the statuses of its services. The HTTP status is ignored, since the
+// body is more detailed.
 func poll(ctx context.Context, client *http.Client, aggregator string) (map[string]ServingStatus, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+aggregator+"/readyz?format=json", nil)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return statuses
 }
 
-// statusOf returns the status of a service in a state. While the aggregator drains, no service takes new requests.
+// statusOf returns the status of a service in a state. While the aggregator is draining, no service is serving.
 func (r *report) statusOf(state string) ServingStatus {
 	if r.Draining || state != "up" && state != "degraded" {
 		return healthpb.HealthCheckResponse_NOT_SERVING
--- a/internal/frontend/grpchealth/server.go
+++ b/internal/frontend/grpchealth/server.go
@@ -1,6 +1,6 @@
-// Package grpchealth serves grpc.health.v1 for an aggregator, from a process of its own: Server polls the aggregator's
-// health listener over HTTP and answers gRPC clients, and Asker checks gRPC servers for an aggregator that sends its
-// health checks over HTTP. The gRPC library thus stays out of the aggregator's process.
+// Package grpchealth serves grpc.health.v1 for an aggregator, from a separate process: Server polls the aggregator's
+// health listener over HTTP and answers gRPC clients, and Checker checks gRPC servers for an aggregator that requests
+// the checks over HTTP. The aggregator's process thus needs no gRPC library.
 package grpchealth
 
 import (
@@ -18,18 +18,19 @@
 )
 
 const (
-	maxReportAge = time.Second // age from which the aggregator's report no longer counts
+	maxReportAge = time.Second // age from which the aggregator's report has expired
 	pollTimeout  = maxReportAge / 2
 
-	// maxWatches is how many Watch calls may be open at once. It guards memory and file descriptors.
+	// maxWatches is the maximum number of open Watch calls. It bounds memory and file descriptors.
 	maxWatches = 256
 )
 
 // ServingStatus is the state of one service.
 type ServingStatus = healthpb.HealthCheckResponse_ServingStatus
 
-// Server implements the grpc.health.v1 service. The service with the empty name is the aggregator as a whole, the others
-// are its databases, whose names are compared without regard to case. The exported fields are not changed after NewServer.
+// Server implements the grpc.health.v1 service. The service with the empty name is the aggregator as a whole, the
+// others are its databases, whose names are compared case-insensitively. The exported fields are not changed after
+// NewServer.
 type Server struct {
 	healthpb.UnimplementedHealthServer
 
@@ -39,16 +40,16 @@
 
 	mu         sync.Mutex
 	statuses   map[string]ServingStatus // by service in lower case; replaced, not changed
-	reportedAt time.Time                // when the aggregator answered last
+	reportedAt time.Time                // when the aggregator last answered
 	changed    chan struct{}            // closed and replaced with each change of statuses
-	watches    int                      // that are open
+	watches    int                      // number of open Watch calls
 }
 
-// NewServer returns a server that knows no service until Run has polled the aggregator.
-func NewServer(aggregator string, every time.Duration) *Server {
+// NewServer returns a server without services. Run adds them once it has polled the aggregator.
+func NewServer(aggregator string, pollInterval time.Duration) *Server {
 	return &Server{
 		Aggregator:   aggregator,
-		PollInterval: every,
+		PollInterval: pollInterval,
 		Now:          time.Now,
 		statuses:     map[string]ServingStatus{},
 		changed:      make(chan struct{}),
@@ -69,7 +70,7 @@
 	}
 }
 
-// update takes the result of a poll. Once the last report is too old, nothing serves.
+// update handles the result of a poll. Once the last report has expired, all services are not serving.
 func (s *Server) update(statuses map[string]ServingStatus, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +110,8 @@
 	return &healthpb.HealthCheckResponse{Status: serving}, nil
 }
 
-// Watch sends the status of one service now and with each change, until the client ends the call. The error has the code
-// ResourceExhausted if too many calls are open.
+// Watch sends the status of one service now and with each change, until the client ends the call. The error has the
+// code ResourceExhausted if too many calls are open.
 func (s *Server) Watch(
 	request *healthpb.HealthCheckRequest, stream grpc.ServerStreamingServer[healthpb.HealthCheckResponse],
 ) error {
@@ -118,7 +119,7 @@
 		return status.Error(codes.ResourceExhausted, "too many watches")
 	}
 	defer s.closeWatch()
-	const none = ServingStatus(-1) // sent so far
+	const none = ServingStatus(-1) // before the first status is sent
 	last := none
 	for {
 		serving, known, changed := s.lookUp(request.GetService())
@@ -139,7 +140,7 @@
 	}
 }
 
-// openWatch counts a Watch call, and returns false if there are too many.
+// openWatch counts a Watch call as open. It returns false if there are too many.
 func (s *Server) openWatch() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/grpchealth/server_test.go
+++ b/internal/frontend/grpchealth/server_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// waitFor waits until a status is sent. Others may come before it, such as those from before the first poll.
+// waitFor waits until a status is sent. Others may be sent before it, such as those from before the first poll.
 func waitFor(t *testing.T, next func() ServingStatus, want ServingStatus) {
 	t.Helper()
 	const maxStatuses = 4
@@ -64,11 +64,11 @@
 			return
 		}
 	}
-	t.Fatalf("%v is not sent", want)
+	t.Fatalf("status %v was not among the first %d", want, maxStatuses)
 }
 
-// What the aggregator reports reaches gRPC clients by Check, and by Watch with each change. Nothing serves once the
-// aggregator doesn't answer.
+// Check returns the statuses that the aggregator reports, and Watch sends each change of them. All services are not
+// serving once the aggregator no longer answers.
 func TestServer_FollowsTheAggregator(t *testing.T) {
 	addr, setReport := serveAggregator(t)
 	setReport(reportText("degraded", false, "up"))
