--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the operators' protocol (package protocol/admin). It uses the standard library's sockets and not
-// netpoll's, so that an operator is answered while clients keep its pollers busy, and connections of its own number, so
-// that clients and operators cannot take each other's.
+// Package admin serves the operators' protocol (package protocol/admin). It uses the standard library's sockets instead
+// of netpoll's, so that operators are answered while clients keep netpoll's pollers busy. It has its own limit of
+// connections, so that clients and operators cannot exhaust each other's.
 package admin
 
 import (
@@ -18,28 +18,31 @@
 )
 
 const (
-	// MaxConns is how many connections are held. One more closes the one that has waited longest for its call.
+	// MaxConns is the maximum number of connections. One more evicts the connection that has waited longest for its
+	// call.
 	MaxConns = 16
-	// callTimeout is how long a connection may take to bring its call.
+	// callTimeout bounds the time until the call has arrived on a connection.
 	callTimeout = 5 * time.Second
 	// answerTimeout bounds the writing of an answer.
 	answerTimeout = time.Second
-	// lingerTimeout is how long the peer's close is awaited behind an answer, so that bytes behind the call bring no reset.
+	// lingerTimeout is how long the server waits for the client's close after an answer. Closing with unread bytes
+	// would reset the connection, and the client could lose the answer.
 	lingerTimeout = 200 * time.Millisecond
-	// maxLingerBytes are read and dropped meanwhile.
+	// maxLingerBytes is the maximum number of bytes that are read and dropped during that time.
 	maxLingerBytes = 64 << 10
-	// evictionInterval is the pause where no place is free and none can be made: each connection's call has come.
+	// evictionInterval is the pause between attempts to evict a connection while MaxConns are open. None can be evicted
+	// if the calls of all have arrived.
 	evictionInterval = time.Millisecond
-	// acceptBackoff is the pause after the system failed an accept, for want of descriptors as a rule.
+	// acceptBackoff is the pause after a failed accept, usually for lack of file descriptors.
 	acceptBackoff = 20 * time.Millisecond
 )
 
 var errLineTooLong = errors.New("the call is too long")
 
-// Handler carries out a call and returns the answer. Several goroutines call it; it returns within a second.
+// Handler executes a call and returns the answer. It is called concurrently and must return within a second.
 type Handler func(command admin.Command) (answer string)
 
-// Server serves one listener.
+// Server serves operators' calls on one listener.
 type Server struct {
 	listener net.Listener
 	handle   Handler
@@ -47,7 +50,7 @@
 	mu      sync.Mutex
 	closed  bool
 	open    int
-	waiting list.List // of net.Conn whose call was not read, the oldest first
+	waiting list.List // net.Conn values whose call has not been read, oldest first
 	running sync.WaitGroup
 }
 
@@ -65,7 +68,7 @@
 // Addr returns the address that the server listens on, host:port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server and its connections, and waits for them.
+// Close closes the listener and the connections that wait for a call, and waits until all calls have been answered.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -73,11 +76,11 @@
 		closeConn(e.Value.(net.Conn))
 	}
 	s.mu.Unlock()
-	_ = s.listener.Close() // accept ends
+	_ = s.listener.Close() // ends accept
 	s.running.Wait()
 }
 
-// closeConn closes a connection of which nothing is expected any more.
+// closeConn closes a connection. Errors are ignored, since nothing more is read or written.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
 func (s *Server) accept() {
@@ -94,7 +97,8 @@
 	}
 }
 
-// admit serves a new connection, where need be in place of the one that has waited longest.
+// admit serves a new connection. If MaxConns are open, it evicts the one that has waited longest, and waits until one
+// is closed.
 func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,24 +113,24 @@
 		return
 	}
 	s.open++
-	place := s.waiting.PushBack(conn)
-	s.running.Go(func() { s.serve(conn, place) })
+	element := s.waiting.PushBack(conn)
+	s.running.Go(func() { s.serve(conn, element) })
 }
 
-// evictOldest ends the connection that has waited longest of those on which nothing has come that is not read yet. It is
-// called with the lock held.
+// evictOldest evicts the connection that has waited longest for its call, of those without unread input. The caller
+// must hold the lock.
 func (s *Server) evictOldest() {
 	for e := s.waiting.Front(); e != nil; e = e.Next() {
 		if conn := e.Value.(net.Conn); !hasInput(conn) {
 			s.waiting.Remove(e)
-			// Not a close: what reads on the connection may have the call by now, and answers it then.
+			// The connection is not closed, since serve may have read the call by now; it is answered then.
 			_ = conn.SetReadDeadline(time.Now())
 			return
 		}
 	}
 }
 
-// hasInput reports whether the system holds bytes of a connection that were not read. An error is the connection's end.
+// hasInput reports whether the socket's receive buffer contains unread bytes, or the end or an error of the connection.
 func hasInput(conn net.Conn) (readable bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -141,13 +145,13 @@
 }
 
 // serve reads one call and answers it.
-func (s *Server) serve(conn net.Conn, place *list.Element) {
+func (s *Server) serve(conn net.Conn, element *list.Element) {
 	defer s.release()
 	defer closeConn(conn)
-	// The deadlines cannot fail on a connection that is open; on a closed one the next call tells.
+	// Setting a deadline fails only on a closed connection, on which the following read or write fails, too.
 	_ = conn.SetReadDeadline(time.Now().Add(callTimeout))
 	line, err := bufio.NewReaderSize(conn, admin.MaxLine).ReadSlice('\n')
-	s.endWaiting(place)
+	s.endWaiting(element)
 	var answer string
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -172,11 +176,11 @@
 	return s.handle(command)
 }
 
-// endWaiting notes that a connection's call was read, or will not come.
-func (s *Server) endWaiting(place *list.Element) {
+// endWaiting removes a connection from waiting, after its call was read or failed to arrive.
+func (s *Server) endWaiting(element *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting.Remove(place) // where it was evicted it is not listed any more
+	s.waiting.Remove(element) // does nothing if the connection was evicted
 }
 
 func (s *Server) release() {
@@ -185,7 +189,8 @@
 	s.open--
 }
 
-// linger half-closes and waits for the peer's close. Errors are the peer's end.
+// linger closes the connection for writing and waits for the client's close, for lingerTimeout at most. An error ends
+// the wait, too.
 func linger(conn net.Conn) {
 	if half, ok := conn.(*net.TCPConn); ok {
 		_ = half.CloseWrite()
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for the network: a failure, not a verdict.
-const patience = time.Minute
+// networkTimeout bounds a dial; no test is expected to reach it.
+const networkTimeout = time.Minute
 
 func listen(t *testing.T, handle Handler) *Server {
 	t.Helper()
@@ -29,7 +29,7 @@
 
 func dial(t *testing.T, s *Server) *net.TCPConn {
 	t.Helper()
-	conn, err := net.DialTimeout("tcp", s.Addr(), patience)
+	conn, err := net.DialTimeout("tcp", s.Addr(), networkTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	return "done " + string(command.Verb) + command.Server + "\n"
 }
 
-// call sends text and returns all that comes back.
+// call sends text on a new connection and returns all that is received.
 func call(t *testing.T, s *Server, text string) string {
 	t.Helper()
 	conn := dial(t, s)
@@ -74,7 +74,7 @@
 	}
 }
 
-// A client that ends its side behind the call, even without a line's end, still gets the answer.
+// A client that half-closes the connection after its call, even without a newline, receives the answer.
 func TestServer_HalfClose(t *testing.T) {
 	s := listen(t, echo)
 	for _, text := range []string{"PING\n", "PING"} {
@@ -91,26 +91,27 @@
 	}
 }
 
-// Callers that say nothing, or half a line, keep nobody out: the one that has waited longest is closed.
+// Connections without a complete call do not exhaust the limit: the one that has waited longest is closed for a new
+// one.
 func TestServer_IdleConnectionsKeepNobodyOut(t *testing.T) {
 	s := listen(t, echo)
-	var crowd []*net.TCPConn
+	var idle []*net.TCPConn
 	for range 5 * MaxConns {
 		conn := dial(t, s)
 		if _, err := io.WriteString(conn, "PI"); err != nil {
 			t.Fatal(err)
 		}
-		crowd = append(crowd, conn)
+		idle = append(idle, conn)
 	}
 	if got := call(t, s, "PING\n"); got != "done PING\n" {
 		t.Errorf("%q", got)
 	}
-	if answer, err := io.ReadAll(crowd[0]); len(answer) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the oldest connection: %q, %v; want its end", answer, err)
+	if answer, err := io.ReadAll(idle[0]); len(answer) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("the oldest connection: received %q, %v; want it closed", answer, err)
 	}
 }
 
-// Calls that are being carried out are not closed for others, which wait for them.
+// Connections whose call is being executed are not closed for new ones, which wait for them.
 func TestServer_CallsInFlightAreKept(t *testing.T) {
 	started, release := make(chan struct{}, 2*MaxConns), make(chan struct{})
 	s := listen(t, func(admin.Command) string {
