--- a/balance/admission.go
+++ b/balance/admission.go
@@ -7,33 +7,34 @@
 	"rooktrestle/internal/control/estimate"
 )
 
-// When new queries are rejected.
+// Limits for the admission of queries.
 const (
-	admissionFraction  = 0.8  // of the time left: what a query of mean weight may be expected to take
-	minAdmissionFactor = 0.5  // least that a query's weight per part makes of that fraction
-	maxAdmissionFactor = 1.2  // most that it makes of that fraction
-	weightSmoothing    = 0.02 // weight of one query in the mean weight and number of parts
-	minObservedLatency = 0.5  // of the objective: what recent responses must have taken for a rejection
-	hopelessTimeLeft   = 0.25 // of the objective: only with less left may service times alone reject
-	minInFlightToJudge = 2    // own requests in flight from which a server's recent latency closes it
-	minTrafficFraction = 0.01 // a traffic fraction so small that parts rather wait for another replica
+	admissionFraction  = 0.8  // share of the remaining time that a query of mean weight is allowed to take
+	minAdmissionFactor = 0.5  // least factor on admissionFraction, for queries of low weight per part
+	maxAdmissionFactor = 1.2  // largest factor on admissionFraction, for queries of high weight per part
+	weightSmoothing    = 0.02 // weight of one query in the moving means of weight and number of parts
+	minObservedLatency = 0.5  // fraction of the objective that recent latency must exceed for a rejection
+	minAdmissionTime   = 0.25 // remaining share of the objective below which service times alone may reject
+	minOwnInFlight     = 2    // own requests in flight from which a server's recent latency may exclude it
+	minTrafficFraction = 0.01 // traffic fraction up to which parts wait for another replica instead
 )
 
-// admit reports whether a query's answer may be expected in time. Guards against overload, whatever brings
-// it: work that will be late is rejected before it costs anything, queries of little weight per part first.
+// admit reports whether a query's answer can be expected in time. It guards against overload of any cause:
+// work that would be overdue is rejected before it costs anything, queries with little weight per part first.
 func (b *Balancer) admit(query *query) bool {
 	factor := b.admissionFactor(query)
-	left := micros(b.stepDue(query) - b.now)
-	limit := left * admissionFraction * factor
+	remaining := micros(b.stepDue(query) - b.now)
+	limit := remaining * admissionFraction * factor
 	needed := query.neededWeight()
-	least := min(query.minWeight(), needed)
-	open := b.openWeight(query, limit)
-	minTimeLeft := min(b.fleet.MedianServiceTime, hopelessTimeLeft*micros(query.class.Objective))
-	if left <= minTimeLeft || open < least-weightTolerance {
+	minimum := min(query.minWeight(), needed)
+	answerable := b.answerableWeight(query, limit)
+	minRemaining := min(b.fleet.MedianServiceTime, minAdmissionTime*micros(query.class.Objective))
+	if remaining <= minRemaining || answerable < minimum-weightTolerance {
 		return false
 	}
-	// Reject only if both say so: recent response times, which lag, and the number in flight, high in a lull.
-	deviations := estimate.TailDeviations(len(query.parts), 1-(least+needed)/2)
+	// Reject only if two estimates agree: that by recent response times, which lags behind, and that by
+	// requests in flight, which is too high at low load.
+	deviations := estimate.TailDeviations(len(query.parts), 1-(minimum+needed)/2)
 	if delay, measured := b.fleet.ObservedQueueDelay(b.now); measured {
 		return b.fleet.SlowestWithQueue(deviations, delay) <= limit
 	}
@@ -43,12 +44,12 @@
 	}
 	expected, measured := b.fleet.Expected(b.now, query.Class, len(query.parts), slowest)
 	if expected > limit && !measured {
-		b.fleet.ForgetExcess() // a rejection brings no answers, so each forgets some of what made it
+		b.fleet.ForgetExcess() // rejections yield no answers that would lower the estimate
 	}
 	return expected <= limit
 }
 
-// admissionFactor weighs a query's weight per part against the mean, and takes it into that mean.
+// admissionFactor compares a query's weight per part with the mean, and updates the mean.
 func (b *Balancer) admissionFactor(query *query) float64 {
 	weight := query.class.Weight
 	parts := float64(max(1, query.Parts))
@@ -64,30 +65,31 @@
 	return min(maxAdmissionFactor, max(minAdmissionFactor, factor))
 }
 
-// openWeight is the weight of the parts that have an open replica. A query that lacks a shard is not begun.
-func (b *Balancer) openWeight(q *query, limit float64) (open float64) {
+// answerableWeight returns the weight of the parts that have a replica that can answer them. A query for
+// which a shard has none is not admitted.
+func (b *Balancer) answerableWeight(q *query, limit float64) (answerable float64) {
 	for _, p := range q.parts {
 		candidates := prefer(b.candidates(p), func(s *server) bool { return !s.nearlyExcluded() })
-		if slices.ContainsFunc(candidates, func(s *server) bool { return b.isOpen(p, s, limit) }) {
-			open += p.Weight
+		if slices.ContainsFunc(candidates, func(s *server) bool { return b.canAnswer(p, s, limit) }) {
+			answerable += p.Weight
 		}
 	}
-	return open
+	return answerable
 }
 
-// isOpen reports whether a replica may answer a part within limit microseconds. It is open unless it is full,
-// warming up without capacity, has requests in flight and took too long lately, or is too slow and no
-// half-open request is due.
-func (b *Balancer) isOpen(p *part, s *server, limit float64) bool {
+// canAnswer reports whether a replica may answer a part within limit microseconds. It cannot if it is full,
+// warming up without capacity, has requests in flight and recently took too long, or is slow and no half-open
+// request is due.
+func (b *Balancer) canAnswer(p *part, s *server, limit float64) bool {
 	halfOpen := len(s.InFlight) == 0 && b.now >= s.NextHalfOpen
-	quick := s.RecentMean() <= limit || !s.Slow && len(s.InFlight) < minInFlightToJudge
-	return b.now >= s.avoidUntil && b.slowStartAllows(p, s) && (quick || halfOpen) &&
+	fast := s.RecentMean() <= limit || !s.Slow && len(s.InFlight) < minOwnInFlight
+	return b.now >= s.avoidUntil && b.slowStartAllows(p, s) && (fast || halfOpen) &&
 		b.fleet.QueueDelay(&s.Server, b.now) <= max(0, limit-b.fleet.InitialMean())
 }
 
-// shedOptionalParts leaves out parts that a query can do without where half of a shard's replicas are
-// excluded and the others have long queues. What these can do is for queries that need each of their parts:
-// one lost there wastes all others. It returns the weight that can still be reached.
+// shedOptionalParts drops optional parts of a query if half of their shard's replicas are excluded and the
+// others have long queues. The capacity of those is left to queries that need every part, for which one lost
+// part wastes all others. It returns the weight that can still be reached.
 func (b *Balancer) shedOptionalParts(query *query, reachable float64) float64 {
 	if query.minWeight() >= query.neededWeight() {
 		return reachable
@@ -102,7 +104,7 @@
 	return reachable
 }
 
-// mostlyExcluded reports whether half of a part's replicas are excluded, and all others have long queues.
+// mostlyExcluded reports whether half of a part's replicas are excluded and all others have long queues.
 func (b *Balancer) mostlyExcluded(part *part) bool {
 	candidates := b.candidates(part)
 	excluded := 0
@@ -116,7 +118,7 @@
 	return 2*excluded >= len(candidates)
 }
 
-// nearlyExcluded reports whether a server is to get next to nothing.
+// nearlyExcluded reports whether a server should receive almost no parts.
 func (s *server) nearlyExcluded() bool {
 	return s.TrafficFraction > 0 && s.TrafficFraction <= minTrafficFraction
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -29,14 +29,14 @@
 		for _, rejection := range actionsOf[Reject](h.begin(newQuery{parts: 1})) {
 			rejected++
 			if rejection.RetryAfter <= 0 {
-				t.Error("rejected without a time to come back")
+				t.Error("rejected without a Retry-After")
 			}
 		}
 	}
 	if rejected == 0 {
-		t.Fatal("60 queries at once to three servers that are overloaded: none rejected")
+		t.Fatal("none of 60 simultaneous queries to three overloaded servers was rejected")
 	}
-	// Once nothing is in flight, queries are admitted again, though no answer has lowered the mean.
+	// Once nothing is in flight, queries are admitted again, although no answer has lowered the mean.
 	for _, server := range h.b.servers {
 		server.InFlight = nil
 		server.LastSuccess = h.now
@@ -49,7 +49,8 @@
 	settings := testSettings()
 	h := newHarness(t, settings)
 	h.serve(5, 100*ms)
-	// The class earns nothing after its objective of 1 s, and 1.5 s of the 3 s until the deadline have passed.
+	// The class earns nothing after its objective of 1 s, and 1.5 s of the 3 s until the deadline have
+	// passed.
 	actions := h.turn(Query{ID: 900, Group: 900, TimeLeft: 1500 * ms, Parts: 1},
 		Part{ID: 901, Group: 900, Weight: 1})
 	if rejection := onlyAction[Reject](h, actions); rejection.Query != 900 || countOf[Send](actions) > 0 {
@@ -74,11 +75,11 @@
 	if rejection := onlyAction[Reject](h, h.turn(events...)); rejection.Query != id {
 		t.Errorf("rejected %d, want %d", rejection.Query, id)
 	}
-	overload(0) // the same response times with nothing in flight are out of date
+	overload(0) // with nothing in flight, the same response times are out of date
 	h.sendOnePart(0)
 }
 
-// One of 80 balancers does not take the parts of its own query for a sign of a full fleet.
+// One of 80 balancers does not take the parts of its own query as a sign that the fleet is overloaded.
 func TestAdmit_OneOfManyDoesNotRejectItsOwnQuery(t *testing.T) {
 	for _, n := range []int{1, 80} {
 		settings := testSettings()
@@ -97,7 +98,8 @@
 	}
 }
 
-// Rejections bring no answers. Without load reports they must end by themselves.
+// Rejections yield no answers that lower the latency estimate. Without load reports, rejecting must end by
+// itself.
 func TestAdmit_RejectionsForgetTheOverload(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -105,17 +107,17 @@
 	h.serve(40, 100*ms)
 	h.b.fleet.Latency = estimate.Latency{Mean: 2e6, Deviation: 1e6}
 	if countOf[Reject](h.begin(newQuery{parts: 3})) != 1 {
-		t.Fatal("a query was begun where answers take twice its objective")
+		t.Fatal("a query was admitted although answers take twice its objective")
 	}
 	for range 20 {
 		if countOf[Send](h.begin(newQuery{parts: 3})) == 3 {
 			return
 		}
 	}
-	t.Error("20 queries rejected in a row: nothing lets one through to see")
+	t.Error("20 queries rejected in a row: none was admitted to measure the latency")
 }
 
-// Where fewer parts make an answer, admission does not wait for the slowest of all.
+// Where an answer needs fewer than all parts, admission does not count on the slowest one.
 func TestAdmit_CountsOnlyNeededParts(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 60
@@ -135,12 +137,12 @@
 		h.b.meanWeight = 1
 		h.b.meanParts = 30
 		if n := countOf[Send](h.begin(newQuery{parts: 30})); n != test.sends {
-			t.Errorf("least fraction %v: %d parts sent, want %d", test.minFraction, n, test.sends)
+			t.Errorf("minimum fraction %v: %d parts sent, want %d", test.minFraction, n, test.sends)
 		}
 	}
 }
 
-// A replica that warms up and may not be sent a part now is no reason to begin a query.
+// A query is not admitted if its only replica is warming up and may not receive a part now.
 func TestAdmit_ReplicaWarmingUpWithoutCapacityIsNotOpen(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -148,12 +150,12 @@
 	h.b.servers["a"].SlowStart.FirstSendThreshold = 1
 	actions := h.begin(newQuery{parts: 1})
 	if countOf[Reject](actions) != 1 || countOf[Send](actions) != 0 {
-		t.Errorf("want a rejection at once, got %v", actions)
+		t.Errorf("want an immediate rejection, got %v", actions)
 	}
 }
 
-// Both replicas of a shard report more parts than they can serve in an objective, whatever the fleet's state: the
-// shard is closed until they may have served them.
+// All replicas of a shard report more parts than they can serve within an objective, while the fleet is not
+// overloaded: queries are rejected until the replicas may have served those parts.
 func TestAdmit_CrowdedShardIsClosedForAWhile(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(60, 100*ms)
@@ -162,15 +164,15 @@
 	}
 	actions := h.begin(newQuery{parts: 1})
 	if countOf[Reject](actions) != 1 || countOf[Send](actions) > 0 {
-		t.Errorf("want a rejection at once, got %v", actions)
+		t.Errorf("want an immediate rejection, got %v", actions)
 	}
 	h.now += 3 * time.Second
 	h.sendOnePart(0)
 }
 
-// A balancer that only ever saw an overload admits again: what it forgets with each rejection leads to its first
-// estimate, and fresh probes of short queues count for more than old answers. Fresh probes of long ones reject at
-// once.
+// A balancer that observed nothing but overload admits queries again: each rejection moves its estimate
+// toward the initial one, and fresh probes of short queues take precedence over old answers. Fresh probes of
+// long queues lead to immediate rejections.
 func TestAdmit_OverloadIsForgotten(t *testing.T) {
 	h := newFleetHarness(t)
 	overloadLongAgo := func() {
@@ -215,8 +217,8 @@
 	}
 }
 
-// A wide query's weight per part is weighed against that of the parts offered, not of the queries: beside
-// corrections of one part it would count as of no weight, and be rejected in a lull.
+// A wide query's weight per part is compared with the mean over parts, not over queries: otherwise, together
+// with corrections of one part, it would count as of almost no weight and be rejected even at low load.
 func TestAdmit_WideQueriesBesideNarrowOnes(t *testing.T) {
 	h := newFleetHarness(t)
 	// The means are those of the queries below.
@@ -241,7 +243,7 @@
 	}
 }
 
-// A query is not begun where the only replicas of one of its parts are known to be so far behind that it would be late.
+// A query is not admitted if all replicas of one of its parts have queues that would make its answer overdue.
 func TestAdmit_RejectsWhereAPartWouldWaitTooLong(t *testing.T) {
 	for _, test := range []struct {
 		queue float64
@@ -255,7 +257,7 @@
 		h.b.fleet.Options.ProbesShared = true
 		h.b.meanWeight = 1
 		h.b.meanParts = 10
-		// At a queue of 28 a part would wait for 0.7 of the objective, and the servers are not full.
+		// At a queue of 28, a part would wait for 0.7 of the objective; the servers are not full.
 		for _, server := range h.b.servers {
 			server.Queue = test.queue
 			server.ReportedAt = h.now
@@ -267,24 +269,25 @@
 	}
 }
 
-// A query is not begun where all replicas of its part are full but for an excluded one, which would not get the part.
+// A query is not admitted if all replicas of its part are full except an excluded one, which would not
+// receive it.
 func TestAdmit_ExcludedReplicaIsNotOpen(t *testing.T) {
-	for _, out := range []bool{true, false} {
+	for _, excluded := range []bool{true, false} {
 		h := newFleetHarness(t)
-		if out {
+		if excluded {
 			h = newFleetHarness(t, "a")
 		}
 		for _, id := range []Replica{"b", "c", "d"} {
 			h.b.servers[id].avoidUntil = h.now + 100*ms
 		}
-		if n := countOf[Reject](h.begin(newQuery{parts: 1})); n == 1 != out {
-			t.Errorf("excluded %v: %d rejected", out, n)
+		if n := countOf[Reject](h.begin(newQuery{parts: 1})); n == 1 != excluded {
+			t.Errorf("excluded %v: %d rejected", excluded, n)
 		}
 	}
 }
 
-// Where fresh probes show queues, the slowest of many parts is expected to wait longer than a single part. Own answers
-// count only while they are as fresh as the probes.
+// By fresh probes of queues, the slowest of many parts is expected to wait longer than a single part. The
+// balancer's own answers count only while they are as fresh as the probes.
 func TestAdmit_CountsOnTheSlowestPart(t *testing.T) {
 	for _, test := range []struct {
 		mean, queue float64
@@ -292,9 +295,9 @@
 		sends       int
 	}{
 		{mean: 100e3, queue: 4, stale: false, sends: 30},
-		{mean: 100e3, queue: 15, stale: false, sends: 0}, // one part would be in time
+		{mean: 100e3, queue: 15, stale: false, sends: 0}, // a single part would be in time
 		{mean: 500e3, queue: 2, stale: false, sends: 0},
-		{mean: 500e3, queue: 2, stale: true, sends: 30}, // as the servers were once
+		{mean: 500e3, queue: 2, stale: true, sends: 30}, // the latency is that of an earlier time
 	} {
 		h := newFleetHarness(t)
 		h.b.fleet.Latency = estimate.Latency{Mean: test.mean, Deviation: 20e3}
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -7,25 +7,25 @@
 	"rooktrestle/internal/control/suspicion"
 )
 
-// What the ends of attempts show of servers, and when half-open requests and retries follow.
+// Delays after failed attempts.
 const (
-	halfOpenInterval = 1.2 // overdue times between half-open requests to a server, times root Instances
+	halfOpenInterval = 1.2 // interval at a server, in overdue times x square root of Instances
 	queueFullBackoff = 0.5 // mean latencies for which a full server is avoided
 )
 
-// exhausted reports whether a part without an answer may not be sent again: it must not run twice (rule 2),
-// has used up its attempts, or has no replica.
+// exhausted reports whether an unanswered part may not be sent again: it must not run twice (rule 2), has
+// used up its attempts, or has no replica.
 func (b *Balancer) exhausted(p *part) bool {
 	if p.answered || len(p.inFlight) > 0 {
 		return false
 	}
 	class := p.query.class
 	expired := b.now > p.firstMayHaveRun+class.DedupWindow-b.settings.Tick
-	unsafe := class.Idempotency == NonIdempotent || class.Idempotency == KeyedIdempotent && expired
-	return p.attempts >= p.query.maxAttempts || len(b.candidates(p)) == 0 || p.mayHaveRun && unsafe
+	mustNotRepeat := class.Idempotency == NonIdempotent || class.Idempotency == KeyedIdempotent && expired
+	return p.attempts >= p.query.maxAttempts || len(b.candidates(p)) == 0 || p.mayHaveRun && mustNotRepeat
 }
 
-// advancePart sends a part that waits, or hedges one that is overdue.
+// advancePart sends a waiting part, or hedges an overdue one.
 func (b *Balancer) advancePart(part *part) {
 	if len(part.inFlight) > 0 {
 		b.hedge(part)
@@ -42,7 +42,7 @@
 	}
 }
 
-// startAttempt counts a new attempt of a part at a server, and returns the action that sends it.
+// startAttempt records a new attempt of a part at a server, and returns the action that sends it.
 func (b *Balancer) startAttempt(part *part, server *server) Send {
 	if part.attempts > 0 {
 		b.retryBudget.RecordRetry(b.now)
@@ -58,7 +58,7 @@
 	return action
 }
 
-// delayHalfOpen puts off the next half-open request to a server or over its path, if that was one.
+// delayHalfOpen delays the next half-open request to a server or over its path if the new attempt is one.
 func (b *Balancer) delayHalfOpen(server *server, class int) {
 	overdue := b.fleet.Overdue()
 	if !server.Path.Usable() {
@@ -84,7 +84,7 @@
 	class.RecordLoss(ended.Result != OK && ended.Result != QueueFull && unusable)
 	switch ended.Result {
 	case OK:
-		b.succeed(attempt, class, took)
+		b.recordSuccess(attempt, class, took)
 		return
 	case Failed:
 		part.recordMayHaveRun(attempt)
@@ -93,12 +93,12 @@
 	case Reset:
 		part.recordMayHaveRun(attempt)
 		server.RecordClassFailure(part.query.Class, b.now, b.now, b.halfOpenDelay())
-		b.connectionLost(server, part.query)
+		b.recordReset(server, part.query)
 	case ConnectFailed:
 		b.recordDown(server)
 	case QueueFull:
-		// Avoid it until some of the queue is worked off; a fast rejection leaves few in flight and draws the
-		// next part.
+		// Avoid the server until its queue has drained a little: fast rejections leave few requests in
+		// flight, which would attract the next part.
 		server.avoidUntil = b.now + duration(queueFullBackoff*b.fleet.Mean)
 	case TimedOut, Canceled:
 		part.recordMayHaveRun(attempt)
@@ -108,8 +108,8 @@
 	b.delayRetry(part)
 }
 
-// succeed takes a part's first answer and cancels its other attempts.
-func (b *Balancer) succeed(attempt *attempt, class *suspicion.Record, took float64) {
+// recordSuccess accepts a part's first answer and cancels its other attempts.
+func (b *Balancer) recordSuccess(attempt *attempt, class *suspicion.Record, took float64) {
 	part := attempt.part
 	class.LastSuccess = b.now
 	class.RecordSuccess()
@@ -119,15 +119,15 @@
 	}
 	part.answered = true
 	if attempt.number > 0 && (len(part.inFlight) > 0 || took <= b.fleet.Overdue()) {
-		b.hedgeTokens = min(maxHedgeTokens, b.hedgeTokens+1) // the hedged request paid
+		b.hedgeTokens = min(maxHedgeTokens, b.hedgeTokens+1) // the hedged request was useful
 	}
 	for _, other := range part.inFlight {
 		b.cancel(other)
 	}
 }
 
-// recordDown notes that a server refuses connections: nothing is gained by another attempt at once, and less
-// each time.
+// recordDown records that a server refuses connections. The server is avoided for a time that grows with each
+// failure, as an immediate attempt would fail too.
 func (b *Balancer) recordDown(s *server) {
 	s.RecordServerFailure(b.now, b.halfOpenDelay())
 	s.avoidUntil = b.now + duration(s.Penalty*b.fleet.Overdue())
@@ -137,9 +137,9 @@
 	}
 }
 
-// recordTimeout holds an overdue attempt against its server where nothing came from there since, or another
-// attempt was quicker: it is as good as a failure. Else a server that answers nothing, or not everything,
-// would be as new once its requests are canceled.
+// recordTimeout counts an overdue attempt as a failure of its server if the server has answered nothing
+// since, or another attempt was faster. Otherwise a server that does not answer, or loses parts, would count
+// as healthy again once its requests are canceled.
 func (b *Balancer) recordTimeout(attempt *attempt, result AttemptResult, took float64) {
 	part := attempt.part
 	server := attempt.server
@@ -149,14 +149,14 @@
 	if result == TimedOut || took > overdue && (part.answered || lost) {
 		server.RecordClassFailure(part.query.Class, b.now, attempt.sent, b.halfOpenDelay())
 	}
-	// Where the server answered others since, the part was lost: its time says nothing of theirs.
+	// If the server answered others since, the part was lost, and its time is no measure of their latency.
 	if server.LastSuccess <= attempt.sent {
 		b.fleet.RecordUnanswered(&server.Server, took, len(part.query.parts))
 	}
 }
 
-// delayRetry spreads the attempts of a part over the time left where no other replica is healthy: they meet
-// queues worked off meanwhile.
+// delayRetry spreads the attempts of a part over its remaining time if no other replica is healthy, so that
+// queues drain in between.
 func (b *Balancer) delayRetry(p *part) {
 	untriedAndHealthy := func(s *server) bool {
 		return !s.nearlyExcluded() && s.HealthyFor(p.query.Class) && !slices.Contains(p.failedOn, s)
@@ -164,14 +164,14 @@
 	if b.parts[p.ID] != p || slices.ContainsFunc(b.candidates(p), untriedAndHealthy) {
 		return
 	}
-	left := max(0, p.query.objective-b.now)
-	p.notBefore = b.now + left/time.Duration(1+p.query.maxAttempts-p.attempts)
+	remaining := max(0, p.query.objective-b.now)
+	p.notBefore = b.now + remaining/time.Duration(1+p.query.maxAttempts-p.attempts)
 }
 
-// connectionLost notes that a query lost a server under one of its parts, and probes whether that server
-// still runs. Guards against queries that crash whatever begins them: the servers are innocent, and a retry
-// crashes the next. Also catches mass crashes, where the other parts of a wide query are hopeless.
-func (b *Balancer) connectionLost(server *server, query *query) {
+// recordReset records that the connection for one of a query's parts was reset, and probes whether the server
+// still runs. Guards against queries that crash each server that runs them: the servers are not at fault, and
+// a retry crashes the next one. Also detects mass crashes, after which a wide query cannot be answered.
+func (b *Balancer) recordReset(server *server, query *query) {
 	if !slices.Contains(server.resetQueries, query) {
 		server.resetQueries = append(server.resetQueries, query)
 	}
@@ -184,7 +184,7 @@
 	}
 }
 
-// halfOpenDelay is the least time between two half-open requests to a server or class, in microseconds.
+// halfOpenDelay returns the minimum delay in microseconds between half-open requests to a server or class.
 func (b *Balancer) halfOpenDelay() float64 {
 	return halfOpenInterval * b.sqrtInstances * b.fleet.Overdue()
 }
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -19,7 +19,7 @@
 	for _, result := range []AttemptResult{QueueFull, ConnectFailed} {
 		h := newHarness(t, settings)
 		send := h.sendOnePart(0)
-		if again := onlyAction[Send](h, h.end(send, 0, result, 5*ms)); again.Replica == send.Replica {
+		if retry := onlyAction[Send](h, h.end(send, 0, result, 5*ms)); retry.Replica == send.Replica {
 			t.Errorf("result %d: sent again to the same server", result)
 		}
 	}
@@ -69,27 +69,27 @@
 	r := server.Latency
 	h.end(send, 0, Canceled, 800*ms)
 	if last := server.Recent[len(server.Recent)-1]; last != 800e3 || server.Latency <= r {
-		t.Errorf("last time %v, R %v after %v: a censored time counts", last, server.Latency, r)
+		t.Errorf("last time %v, R %v after %v: the time of a canceled attempt must count", last, server.Latency, r)
 	}
 	send = h.sendOnePart(0)
 	before := len(h.b.servers[send.Replica].Recent)
 	h.end(send, 0, Canceled, 20*ms)
 	if server := h.b.servers[send.Replica]; len(server.Recent) != before || slices.Contains(server.Recent, 20e3) {
-		t.Error("a short attempt canceled counts as a quick answer")
+		t.Error("an attempt that was canceled early counts as a fast answer")
 	}
 }
 
-// budgetRun drives a Balancer whose attempts fail half of the time, and notes what counts for the retry budget.
+// budgetRun drives a Balancer half of whose attempts fail, and records what counts for the retry budget.
 type budgetRun struct {
 	*harness
 	rules             Rules
 	accepted, retries []time.Duration // queries and parts, and retries
 	attempts          map[ID]int      // of each part
-	secondSteps       map[ID]bool     // queries whose second step has begun
+	secondSteps       map[ID]bool     // queries whose second step has started
 	pending           []Event         // for the next turn
 }
 
-// step plays one turn with the pending events and these.
+// step runs one turn with the given events and the pending ones.
 func (r *budgetRun) step(events []Event) {
 	r.Helper()
 	events = append(events, r.pending...)
@@ -114,7 +114,7 @@
 	r.pending = append(r.pending, ends...)
 }
 
-// beginSecondStep brings two parts to a query whose first step was answered.
+// beginSecondStep adds two parts to a query whose first step was answered.
 func (r *budgetRun) beginSecondStep(query ID) {
 	if r.secondSteps[query] {
 		return
@@ -148,17 +148,17 @@
 
 // countSince counts the times at or after start.
 func countSince(times []time.Duration, start time.Duration) (n int) {
-	for _, at := range times {
-		if at >= start {
+	for _, t := range times {
+		if t >= start {
 			n++
 		}
 	}
 	return n
 }
 
-// Rule 6 holds at every moment of a long time of failures: in any window the attempts beyond each part's first
-// stay within the base and the ratio of the queries and parts accepted in it, parts of a second step and hedged
-// requests included.
+// Rule 6 holds throughout a long period of failures: in any window, the attempts beyond the first of each
+// part stay within the base plus the ratio of the queries and parts accepted in it. Parts of a second step
+// and hedged requests are included.
 func TestRetry_BudgetHoldsInEveryWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].FollowUpParts = 2
@@ -179,23 +179,24 @@
 		run.step(events)
 	}
 	if len(run.retries) < 12 {
-		t.Errorf("only %d retries in 12 s: the budget is there to be used", len(run.retries))
+		t.Errorf("only %d retries in 12 s: the budget is not used", len(run.retries))
 	}
 }
 
-// Where the healthy replicas reject a part because they are full, its attempts are spread over the time left.
+// Where the healthy replicas reject a part because they are full, its attempts are spread over the remaining
+// time.
 func TestRetry_AttemptsAfterFullReplicasAreSpread(t *testing.T) {
 	h := newFleetHarness(t, "a", "b", "c")
 	send := h.sendOnePart(0)
-	at := 0
+	attempt := 0
 	times := []time.Duration{}
 	start := h.now
-	actions := h.end(send, at, QueueFull, ms)
-	for h.now < start+900*ms && at < 3 {
-		if again := actionsOf[Send](actions); len(again) == 1 {
-			at++
+	actions := h.end(send, attempt, QueueFull, ms)
+	for h.now < start+900*ms && attempt < 3 {
+		if retry := actionsOf[Send](actions); len(retry) == 1 {
+			attempt++
 			times = append(times, h.now-start)
-			actions = h.end(again[0], at, QueueFull, ms)
+			actions = h.end(retry[0], attempt, QueueFull, ms)
 			continue
 		}
 		h.now += 5 * ms
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkTurn_WideQueries plays queries of thirty parts on sixty servers, four in flight, one attempt in fifty lost.
+// BenchmarkTurn_WideQueries runs queries of thirty parts on sixty servers: four are in flight, and one attempt
+// in fifty is lost.
 func BenchmarkTurn_WideQueries(b *testing.B) {
 	settings := testSettings()
 	settings.Cells = 20
--- a/balance/crash_test.go
+++ b/balance/crash_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Two servers crash under a query before any part is answered: the query ends, and later queries of its class send one
-// part ahead of the others.
+// Two servers crash while they run parts of a query of which none is answered yet: the query is rejected, and
+// later queries of its class send one part ahead of the others.
 func TestCrash_QueryThatCrashesServersEnds(t *testing.T) {
 	settings := testSettings()
 	settings.CanProbe = true
@@ -24,22 +24,23 @@
 		h.wantNone(actions, "retry before the probe has ended", countOf[Send](actions))
 		h.now += 5 * ms
 		actions = h.turn(ProbeEnded{Replica: send.Replica, Result: ConnectFailed})
-		if over := countOf[Reject](actions); over != i {
-			t.Fatalf("rejected %d times after %d crashes", over, i+1)
-		} else if over == 1 && onlyAction[Reject](h, actions).Query != id {
+		if rejections := countOf[Reject](actions); rejections != i {
+			t.Fatalf("rejected %d times after %d crashes", rejections, i+1)
+		} else if rejections == 1 && onlyAction[Reject](h, actions).Query != id {
 			t.Error("another query was rejected")
 		}
 	}
-	ahead := onlyAction[Send](h, h.begin(newQuery{parts: 3}))
-	if n := countOf[Send](h.end(ahead, 0, OK, 20*ms)); n != 2 {
-		t.Errorf("%d parts sent once the one ahead came back, want 2", n)
+	first := onlyAction[Send](h, h.begin(newQuery{parts: 3}))
+	if n := countOf[Send](h.end(first, 0, OK, 20*ms)); n != 2 {
+		t.Errorf("%d parts sent after the answer of the first, want 2", n)
 	}
 	if n := countOf[Send](h.begin(newQuery{class: 1, parts: 3})); n != 3 {
 		t.Errorf("%d of 3 parts of another class sent at once", n)
 	}
 }
 
-// Where connections break and the servers are still up, only answers were lost: the query is not held responsible.
+// If connections break and the servers are still up, only answers were lost: the query does not count as
+// crashing servers.
 func TestCrash_LostAnswersAreNoCrashes(t *testing.T) {
 	settings := testSettings()
 	settings.CanProbe = true
@@ -54,7 +55,7 @@
 	}
 }
 
-// A query under which servers crashed is retried with its key: it is rejected before it crashes more servers.
+// The retry of a query that crashed servers has the same key: it is rejected before it crashes more servers.
 func TestCrash_RetryOfACrashingQueryIsRejected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(10, 100*ms)
@@ -77,12 +78,12 @@
 	id, events = h.query(newQuery{parts: 3})
 	keyed()
 	if actions := h.turn(events...); onlyAction[Reject](h, actions).Query != id || countOf[Send](actions) > 0 {
-		t.Errorf("the repeat was begun: %v", actions)
+		t.Errorf("the retry was admitted: %v", actions)
 	}
 	h.now += time.Minute
 	_, events = h.query(newQuery{parts: 3})
 	keyed()
 	if countOf[Send](h.turn(events...)) == 0 {
-		t.Error("the key is never served again")
+		t.Error("queries with the key are still rejected a minute later")
 	}
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file decides nothing: it takes over the list of replicas as discovery gives it.
+// This file decides nothing: it applies the endpoint lists that discovery delivers.
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"rooktrestle/internal/control/suspicion"
 )
 
-// updateEndpoints takes in a list of the replicas, or changes to it.
+// updateEndpoints applies an endpoint list, or changes to it.
 func (b *Balancer) updateEndpoints(list EndpointList) {
 	if list.Kind != ListDelta {
 		for _, server := range b.endpoints {
@@ -20,16 +20,16 @@
 		b.updateEndpoint(endpoint)
 	}
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(s *server) bool {
-		gone := !s.Listed && len(s.InFlight) == 0 && !s.probing
-		if gone {
+		removable := !s.Listed && len(s.InFlight) == 0 && !s.probing
+		if removable {
 			delete(b.servers, s.id)
 		}
-		return gone
+		return removable
 	})
 	b.indexEndpoints()
 }
 
-// updateEndpoint takes in one entry of a list.
+// updateEndpoint applies one entry of an endpoint list.
 func (b *Balancer) updateEndpoint(endpoint Endpoint) {
 	server := b.servers[endpoint.Replica]
 	if server == nil {
@@ -68,8 +68,8 @@
 	return path
 }
 
-// applyLimits takes what others found out about a server. A half-open request once granted stays granted
-// until it is used, or its class is no longer ejected.
+// applyLimits replaces the health limits of a server. A half-open request that was granted remains granted
+// until it is used or its class is no longer ejected.
 func (s *server) applyLimits(limits HealthLimits) {
 	halfOpen := s.HalfOpenClasses | limits.HalfOpenClasses
 	s.HealthLimits = limits
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -16,7 +16,7 @@
 	}
 	h.turn(EndpointList{Kind: ListFull, Endpoints: []Endpoint{{Replica: "a", Cell: 0}}})
 	if send := h.sendOnePart(0); send.Replica != "a" {
-		t.Errorf("sent to %s, which the full list no longer names", send.Replica)
+		t.Errorf("sent to %s, which is not in the full list", send.Replica)
 	}
 }
 
@@ -34,13 +34,13 @@
 		for countOf[WatchEndpoints](actions) == 0 {
 			h.now += 100 * ms
 			if h.now > failed+settings.Rules.MaxListAge {
-				t.Fatal("the list was not asked for again in the stated time")
+				t.Fatal("the list was not requested again within MaxListAge")
 			}
 			actions = h.turn(TimerFired{})
 		}
 		waits = append(waits, h.now-failed)
 	}
 	if waits[0] == waits[1] || min(waits[0], waits[1]) < time.Second {
-		t.Errorf("asked again after %v: all balancers would call at once", waits)
+		t.Errorf("requested again after %v: all balancers would call at the same time", waits)
 	}
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -1,60 +1,60 @@
 package balance
 
-// This file decides nothing: it holds the events of a turn.
+// This file decides nothing: it defines the events of a turn.
 
 import "time"
 
-// Event is something that happened. It is sealed: see the types below that implement it.
+// Event is an input of Turn. Only the types of this package implement it.
 type Event interface{ event() }
 
-// ID names a query or a part. Ids are not used again while what they name is known to the Balancer.
+// ID identifies a query or a part. An ID must not be reused while the Balancer tracks its query or part.
 type ID uint64
 
-// Replica names a server that holds shards.
+// Replica identifies a server that stores shards.
 type Replica string
 
 // Query is a new query. Its parts follow as Part events of the same turn.
 type Query struct {
 	ID       ID
-	Group    uint64        // joins the query and its parts
+	Group    uint64        // shared by the query and its parts
 	Class    int           // index into Settings.Classes
 	Tenant   int           // index into Settings.Tenants
-	Key      string        // what it is about; empty: no keys
-	WorkHint time.Duration // estimate of its own work; 0: none
-	TimeLeft time.Duration // until the client gives this attempt up
-	IsRetry  bool          // as the client marked it
+	Key      string        // resource that the query is about; empty: none
+	WorkHint time.Duration // estimate of the query's own work; 0: none
+	TimeLeft time.Duration // until the client abandons this attempt
+	IsRetry  bool          // the client marked this attempt as a retry
 	Parts    int
 }
 
-// Candidate is a replica that may be asked for a part.
+// Candidate is a replica to which a part may be sent.
 type Candidate struct {
 	Replica         Replica
-	TrafficFraction float64 // of the parts it would get, under 1; 0: all of them
+	TrafficFraction float64 // fraction of the parts that it would otherwise receive, below 1; 0: all
 }
 
-// Part is one part of a query: what one shard answers of it.
+// Part is the share of a query that one shard answers.
 type Part struct {
 	ID         ID
 	Group      uint64
 	Shard      int
-	Weight     float64 // the weights of a step add up to 1
+	Weight     float64 // the weights of the parts of one step add up to 1
 	WorkHint   time.Duration
-	Candidates []Candidate // who may be asked; nil: the replicas of the shard's cells
+	Candidates []Candidate // where it may be sent; nil: the replicas of the shard's cells
 }
 
-// CandidatesChanged changes who may be asked for a part from now on.
+// CandidatesChanged replaces the candidates for the further attempts of a part.
 type CandidatesChanged struct {
 	Part       ID
 	Candidates []Candidate
 }
 
-// AttemptResult says how an attempt or a probe ended.
+// AttemptResult is how an attempt or a probe ended.
 type AttemptResult int
 
-// The results. Those before Canceled, other than OK and QueueFull, always count as losses.
+// The results of attempts and probes. Those before Canceled, except OK and QueueFull, always count as losses.
 const (
 	OK            AttemptResult = iota
-	Failed                      // an error came back; it may have run
+	Failed                      // the server returned an error; may have run
 	QueueFull                   // rejected; did not run
 	TimedOut                    // no answer in time; may have run
 	ConnectFailed               // no connection; did not run
@@ -63,67 +63,67 @@
 	NotSent                     // never sent
 )
 
-// LoadReport is what a replica reports of its load. Fields absent are negative.
+// LoadReport is the load that a replica reports. A negative value was not reported.
 type LoadReport struct {
 	Queue       float64 // parts waiting
 	InFlight    float64 // parts waiting or running
-	Utilization float64 // fraction of its cores that are busy
+	Utilization float64 // fraction of its cores that is busy
 }
 
-// AttemptEnded ends one attempt.
+// AttemptEnded reports the end of one attempt.
 type AttemptEnded struct {
 	Part    ID
 	Attempt int // 0 for the first of the part
 	Replica Replica
 	Result  AttemptResult
 	Elapsed time.Duration
-	Report  *LoadReport // nil: none came
+	Report  *LoadReport // nil: none received
 }
 
-// ProbeEnded ends one probe.
+// ProbeEnded reports the end of one probe.
 type ProbeEnded struct {
 	Replica Replica
 	Result  AttemptResult
 	Elapsed time.Duration
-	Report  *LoadReport // nil: none came
+	Report  *LoadReport // nil: none received
 }
 
-// ListKind says what an EndpointList holds.
+// ListKind is what an EndpointList contains.
 type ListKind int
 
-// The kinds of lists.
+// The kinds of endpoint lists.
 const (
 	ListFull   ListKind = iota // all replicas
-	ListStale                  // all replicas, as they were; may be old
+	ListStale                  // all replicas as of an earlier time; may be out of date
 	ListDelta                  // changes only
-	ListFailed                 // nothing: a call failed, and the old list holds
+	ListFailed                 // nothing: the call failed, and the current list stays in use
 )
 
 // EndpointState is the state of a listed replica.
 type EndpointState int
 
-// The states of a replica. Only one that is InService gets new attempts.
+// The states of a replica. Only a replica that is InService receives new attempts.
 const (
 	InService EndpointState = iota
 	Draining
 	Removed
 )
 
-// HealthLimits is what others found out about a replica, beside what its answers show here. The zero value
-// limits nothing.
+// HealthLimits restrict the traffic to a replica because of its health as determined outside this Balancer.
+// The zero value limits nothing.
 type HealthLimits struct {
-	TrafficFraction float64 // of the parts it would get, under 1; 0: all of them
-	MaxInFlight     int     // requests in flight there at once; 0: not limited
-	EjectedClasses  uint64  // bit c: parts of class c go there only where no other replica of theirs is listed
-	HalfOpenClasses uint64  // bit c: but for one part of class c, once
+	TrafficFraction float64 // fraction of the parts that it would otherwise receive, below 1; 0: all
+	MaxInFlight     int     // maximum number of requests in flight; 0: unlimited
+	EjectedClasses  uint64  // bit c: receives a part of class c only if all its replicas are ejected
+	HalfOpenClasses uint64  // bit c: may receive one part of ejected class c as a half-open request
 }
 
-// ejected reports whether parts of a class are kept away, and halfOpen whether one of them may go all the
-// same.
+// ejected reports whether the replica is ejected for a class, and halfOpen whether it may receive one part of
+// the class as a half-open request.
 func (l *HealthLimits) ejected(class int) bool  { return l.EjectedClasses>>class&1 == 1 }
 func (l *HealthLimits) halfOpen(class int) bool { return l.HalfOpenClasses>>class&1 == 1 }
 
-// Endpoint is an entry of the list of replicas.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	HealthLimits
 	Replica Replica
@@ -134,20 +134,19 @@
 	Started time.Duration // clock time of its last start; 0: long ago
 }
 
-// EndpointList is a list of replicas, or changes to it, from discovery.
+// EndpointList is the endpoint list, or changes to it, from discovery.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// GossipReceived is a message of another balancer: the payload of its SendGossip, or anything else, as it
-// came.
+// GossipReceived is a gossip message received from another balancer, whose payload is not validated.
 type GossipReceived struct{ Payload []byte }
 
-// TimerFired says that the time of a StartTimer is over.
+// TimerFired reports that the time of a StartTimer has elapsed.
 type TimerFired struct{}
 
-// ClientDisconnected says that a query's client has left.
+// ClientDisconnected reports that the client of a query has disconnected.
 type ClientDisconnected struct{ Query ID }
 
 func (Query) event()              {}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"rooktrestle/balance"
 )
 
-// The owner of a Balancer hands over what happened in a turn and carries out the actions.
+// The owner of a Balancer passes the events of each turn to it and performs the returned actions.
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Seed:        7,
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -4,25 +4,25 @@
 	"rooktrestle/internal/control/gossip"
 )
 
-// Gossip: one balancer of many meets a server so rarely that what it knows of its queue is old, and that it
-// would lose parts of its own at each faulty server. Each therefore shares with the others what its probes
-// showed, and nothing else. All of it is a hint: a message that is lost, late, duplicated or forged may cost
-// a probe or a worse choice, and breaks no rule.
+// One of many balancers contacts a server so rarely that its information on the server's queue is out of
+// date, and that it would lose parts of its own at each faulty server. Balancers therefore share the results
+// of their probes, and nothing else. These are hints: a message that is lost, delayed, duplicated or forged
+// may cost a probe or a worse choice, but violates no rule.
 const (
-	gossipInterval = 0.1 // shortest objectives between two messages of a balancer
-	gossipLifetime = 0.5 // shortest objectives after which a message is ignored
+	gossipInterval = 0.1 // time between two messages of a balancer, in shortest objectives
+	gossipLifetime = 0.5 // age beyond which a message is ignored, in shortest objectives
 )
 
-// observe adds what a probe showed to the next message.
+// observe adds an observation by a probe to the next message.
 func (b *Balancer) observe(s *server, value byte) {
 	if b.settings.GossipEnabled() {
 		b.outbox.Add(s.gossipKey, value)
 	}
 }
 
-// observeQueue shares a long queue, the end of one that was shared, and that an unresponsive server is back:
-// else each balancer had to find that out itself. Other queues are not shared: where all know the same, all
-// send to the shortest queue, which is the longest by the next report.
+// observeQueue shares a long queue, the end of one that was shared, and the recovery of an unresponsive
+// server: otherwise each balancer would have to find them out itself. Other queues are not shared: with equal
+// information, all balancers would send to the shortest queue, which would be the longest by the next report.
 func (b *Balancer) observeQueue(s *server, report *LoadReport, wasUnanswered bool) {
 	if report == nil || report.Queue < 0 {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendGossip sends the pending observations, as far as the parts served have earned their bytes.
+// sendGossip sends the pending observations if the parts served have earned enough bytes.
 func (b *Balancer) sendGossip() {
 	interval := duration(gossipInterval * micros(b.minObjective))
 	if message := b.outbox.Flush(b.now, interval, b.settings.Zone); message != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// receiveGossip takes in another balancer's message. What was seen here since counts for more: a server that
-// answered this balancer after the other's probe went out is up. A message brings no server into the list.
+// receiveGossip applies another balancer's message. Newer observations of this balancer take precedence: a
+// server that answered it after the other's probe was sent is up. A message adds no server to the list.
 func (b *Balancer) receiveGossip(received GossipReceived) {
 	load, ok := gossip.DecodeLoad(b.now, received.Payload)
 	fresh := load.Age.Abs() <= duration(gossipLifetime*micros(b.minObjective))
@@ -61,7 +61,7 @@
 			b.receiveQueue(server, float64(observation.Value))
 			continue
 		}
-		// Only from the own zone: another zone's path there may be cut.
+		// Only from the own zone: the path from another zone to the server may be cut.
 		if sameZone && b.now-server.LastSuccess > age+b.settings.ProbeTimeout {
 			server.ProbeFailed = true
 			server.ProbeUnanswered = true
@@ -69,8 +69,8 @@
 	}
 }
 
-// receiveQueue takes in a server's queue as another balancer saw it, unless it is short and what is known
-// here is no better.
+// receiveQueue records a server's queue as observed by another balancer, unless that queue is short and
+// longer than the one recorded here.
 func (b *Balancer) receiveQueue(s *server, queue float64) {
 	s.ProbeFailed = false
 	s.ProbeUnanswered = false
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -9,7 +9,7 @@
 	"rooktrestle/internal/control/gossip"
 )
 
-// newGossipHarness drives one of eighty balancers that may gossip and probe.
+// newGossipHarness drives one of 80 balancers that may send gossip messages and probes.
 func newGossipHarness(t *testing.T) *harness {
 	settings := testSettings()
 	settings.Instances = 80
@@ -21,10 +21,10 @@
 	return h
 }
 
-// gossipAfterProbe returns the gossip that is sent after a probe of server "a" ended with a result, and for OK with the
-// report of a queue.
+// gossipAfterProbe returns the gossip messages sent after a probe of server "a" ended with a result. A result
+// of OK has a load report with a queue.
 func gossipAfterProbe(h *harness, result AttemptResult, queue float64) []SendGossip {
-	h.now += time.Second // nothing of "a" is known since
+	h.now += time.Second // all observations of "a" are older
 	ended := ProbeEnded{Replica: "a", Result: result, Elapsed: 250 * ms}
 	if result == OK {
 		ended.Report = &LoadReport{Queue: queue, InFlight: -1, Utilization: -1}
@@ -32,7 +32,8 @@
 	return actionsOf[SendGossip](h.turn(ended))
 }
 
-// An unresponsive server found by one balancer is avoided by the others, before each has lost parts of its own there.
+// If one balancer finds a server unresponsive, the others avoid it before each has lost parts of its own
+// there.
 func TestGossip_UnresponsiveServerIsKnownToAll(t *testing.T) {
 	from := newGossipHarness(t)
 	to := newGossipHarness(t)
@@ -41,7 +42,7 @@
 		t.Fatalf("sent %v", messages)
 	}
 	to.now = from.now
-	to.turn(GossipReceived{Payload: messages[0].Payload}, GossipReceived{Payload: messages[0].Payload}) // doubled
+	to.turn(GossipReceived{Payload: messages[0].Payload}, GossipReceived{Payload: messages[0].Payload}) // duplicated
 	if server := to.b.servers["a"]; !server.Unresponsive {
 		t.Fatal("an unresponsive server is still trusted")
 	}
@@ -50,10 +51,10 @@
 			t.Fatal("a part went to the unresponsive server")
 		}
 	}
-	// It answers a probe of one balancer: a message ends the avoidance by the others.
+	// Once it answers a probe of one balancer, a message makes the others use it again.
 	messages = gossipAfterProbe(from, OK, 1)
 	if len(messages) != 1 {
-		t.Fatal("that an unresponsive server is back was not sent")
+		t.Fatal("the recovery of an unresponsive server was not sent")
 	}
 	to.now = from.now
 	to.turn(GossipReceived{Payload: messages[0].Payload})
@@ -63,12 +64,12 @@
 	}
 	messages = gossipAfterProbe(from, OK, 1)
 	if len(messages) != 0 {
-		t.Error("a short queue of a server that was neither unresponsive nor crowded was sent")
+		t.Error("a short queue was sent for a server that was neither unresponsive nor overloaded")
 	}
 }
 
-// An observation from another zone that a server is unresponsive is ignored: it may be due to the network path
-// between the two. An answer of the server overrides the observation.
+// An observation from another zone that a server is unresponsive is ignored, as the network path between the
+// zones may be the cause. An answer of the server overrides the observation.
 func TestGossip_UnresponsiveFromAnotherZone(t *testing.T) {
 	unresponsive := func(h *harness, zone int) bool {
 		h.now += time.Second
@@ -81,11 +82,11 @@
 	}
 	h := newGossipHarness(t)
 	if unresponsive(h, 1) {
-		t.Error("taken from another zone")
+		t.Error("the observation of another zone was accepted")
 	}
 	sends := actionsOf[Send](h.begin(newQuery{parts: 9}))
 	if !unresponsive(h, 0) {
-		t.Fatal("not taken from the own zone")
+		t.Fatal("the observation of the own zone was not accepted")
 	}
 	for _, send := range sends {
 		if send.Replica == "a" {
@@ -93,7 +94,7 @@
 		}
 	}
 	if countByReplica(sends)["a"] == 0 || h.b.servers["a"].ProbeUnanswered {
-		t.Errorf("%d parts answered, and it is taken for unresponsive", countByReplica(sends)["a"])
+		t.Errorf("%d parts answered, but the server counts as unresponsive", countByReplica(sends)["a"])
 	}
 }
 
@@ -107,7 +108,7 @@
 	to.now = from.now
 	to.turn(GossipReceived{Payload: messages[0].Payload})
 	if q := to.b.servers["a"].Queue; q < 20 {
-		t.Fatalf("queue taken as %v", q)
+		t.Fatalf("recorded a queue of %v", q)
 	}
 	messages = gossipAfterProbe(from, OK, 0)
 	if len(messages) != 1 {
@@ -116,16 +117,16 @@
 	to.now = from.now
 	to.turn(GossipReceived{Payload: messages[0].Payload})
 	if q := to.b.servers["a"].Queue; q > 15 {
-		t.Fatalf("queue taken as %v after its end", q)
+		t.Fatalf("recorded a queue of %v after the long queue ended", q)
 	}
 	messages = gossipAfterProbe(from, OK, 0)
 	if len(messages) != 0 {
-		t.Error("an ordinary queue was sent: all would send to the shortest")
+		t.Error("an ordinary queue was sent: all balancers would send to the shortest one")
 	}
 }
 
-// What the receiver measured itself counts for more than an earlier observation of another, and messages that are old,
-// corrupt or about unknown servers are ignored.
+// The receiver's own measurements override earlier observations of others. Messages that are old, corrupt or
+// about unknown servers are ignored.
 func TestGossip_IgnoredMessages(t *testing.T) {
 	for name, test := range map[string]struct {
 		delay       time.Duration // of the message
@@ -134,14 +135,14 @@
 	}{
 		"contradicted": {hasAnswered: true},
 		"old":          {delay: time.Second},
-		"garbled": {change: func(b []byte) []byte {
+		"corrupt": {change: func(b []byte) []byte {
 			b = bytes.Clone(b)
 			b[len(b)-1] ^= 1
 			return b
 		}},
-		"cut":      {change: func(b []byte) []byte { return b[:len(b)-1] }},
-		"too long": {change: func(b []byte) []byte { return append(bytes.Clone(b), make([]byte, 300)...) }},
-		"empty":    {change: func([]byte) []byte { return nil }},
+		"truncated": {change: func(b []byte) []byte { return b[:len(b)-1] }},
+		"too long":  {change: func(b []byte) []byte { return append(bytes.Clone(b), make([]byte, 300)...) }},
+		"empty":     {change: func([]byte) []byte { return nil }},
 		"of an unknown server": {change: func(b []byte) []byte {
 			load, _ := gossip.DecodeLoad(0, b)
 			load.Observations[0].Key++
@@ -163,7 +164,7 @@
 			t.Errorf("%s: the server counts as unresponsive", name)
 		}
 	}
-	// Where messages are not allowed, or balancers are few, none is sent and none counts.
+	// If messages are not allowed or balancers are few, none is sent and received ones are ignored.
 	for _, few := range []bool{false, true} {
 		h := newGossipHarness(t)
 		message := gossipAfterProbe(h, Canceled, 0)[0].Payload
@@ -182,7 +183,7 @@
 		h.now += time.Second
 		h.turn(GossipReceived{Payload: message})
 		if h.b.servers["a"].ProbeUnanswered {
-			t.Error("a message counts where they are not allowed")
+			t.Error("a message was applied where messages are not allowed")
 		}
 	}
 }
@@ -233,7 +234,7 @@
 			[]Event{EndpointList{Kind: ListFull, Endpoints: threeServers()}, GossipReceived{Payload: payload}},
 		)
 		if len(b.servers) != 3 {
-			t.Fatal("a message changed the list")
+			t.Fatal("a message changed the endpoint list")
 		}
 	})
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-// testSettings are settings of one zone with three cells of a server each, where every shard is on all three servers.
+// testSettings returns settings of one zone with three cells of one server each. Every server stores every
+// shard.
 func testSettings() Settings {
 	return Settings{
 		Seed:      1,
@@ -67,16 +68,16 @@
 	return []Endpoint{{Replica: "a", Cell: 0}, {Replica: "b", Cell: 1}, {Replica: "c", Cell: 2}}
 }
 
-// turn plays a turn at the present time.
+// turn runs a turn at the current time.
 func (h *harness) turn(events ...Event) []Action { return h.b.Turn(h.now, events) }
 
-// newQuery describes a query of a test.
+// newQuery describes the query that a test sends.
 type newQuery struct {
 	class int
 	parts int
 }
 
-// query returns the events of a query and its parts. Its id comes first, those of its parts follow.
+// query returns the events of a query and its parts. The ID of the query is followed by those of its parts.
 func (h *harness) query(q newQuery) (ID, []Event) {
 	id := h.next
 	events := []Event{Query{
@@ -98,14 +99,14 @@
 	return id, events
 }
 
-// begin plays a turn with a new query and returns its actions.
+// begin runs a turn with a new query and returns its actions.
 func (h *harness) begin(q newQuery) []Action {
 	h.Helper()
 	_, events := h.query(q)
 	return h.turn(events...)
 }
 
-// sendOnePart begins a query of one part, which must be sent at once.
+// sendOnePart sends a query of one part, which the balancer must send in the same turn.
 func (h *harness) sendOnePart(class int) Send {
 	h.Helper()
 	return onlyAction[Send](h, h.begin(newQuery{class: class, parts: 1}))
@@ -120,7 +121,7 @@
 	return found
 }
 
-// countOf returns how many of the actions are of a type.
+// countOf returns the number of actions of a type.
 func countOf[T Action](actions []Action) int { return len(actionsOf[T](actions)) }
 
 func onlyAction[T Action](h *harness, actions []Action) T {
@@ -140,19 +141,19 @@
 	}
 }
 
-// endOf is the end of a part's first attempt.
+// endOf returns the end of a part's first attempt.
 func endOf(send Send, result AttemptResult) AttemptEnded {
 	return AttemptEnded{Part: send.Part, Replica: send.Replica, Result: result}
 }
 
-// end ends an attempt after the time that it took.
+// end ends an attempt after the given time.
 func (h *harness) end(s Send, attempt int, r AttemptResult, took time.Duration) []Action {
 	h.Helper()
 	h.now += took
 	return h.turn(AttemptEnded{Part: s.Part, Attempt: attempt, Replica: s.Replica, Result: r, Elapsed: took})
 }
 
-// serve runs n one-part queries to their answers; each takes so long.
+// serve runs n one-part queries to their answers, one after the other; each takes the given time.
 func (h *harness) serve(n int, took time.Duration) {
 	h.Helper()
 	for range n {
@@ -164,8 +165,8 @@
 	}
 }
 
-// hedged runs queries of 100 ms and then one whose part is overdue; it returns that part's attempt and the hedged
-// request.
+// hedged runs queries of 100 ms and then one whose part is overdue. It returns the attempt of that part and
+// its hedged request.
 func (h *harness) hedged() (Send, Hedge) {
 	h.Helper()
 	h.serve(60, 100*ms)
@@ -202,7 +203,7 @@
 	}
 }
 
-// twoClasses are settings with a second class that differs in its idempotency.
+// twoClasses returns settings with a second class that has another idempotency.
 func twoClasses(idempotency Idempotency) Settings {
 	settings := testSettings()
 	settings.CanHedge = false
@@ -211,12 +212,12 @@
 	return settings
 }
 
-// almostNoTraffic is the traffic fraction of a server that the fleet found to lose nearly all of its parts.
+// almostNoTraffic is the traffic fraction of a server that loses nearly all of its parts.
 const almostNoTraffic = 0.005
 
-// newFleetHarness drives one of 300 balancers. Class 0 is a search that needs every part, class 1 a report for
-// which half of the parts are enough. Every shard is on the same four servers, of which those excluded get almost
-// no traffic.
+// newFleetHarness drives one of 300 balancers. Class 0 is a search that needs every part, class 1 a report
+// for which half of the parts suffice. Four servers store every shard; the excluded ones receive almost no
+// traffic.
 func newFleetHarness(t *testing.T, excluded ...Replica) *harness {
 	t.Helper()
 	settings := testSettings()
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -2,15 +2,15 @@
 
 import "rooktrestle/internal/control/suspicion"
 
-// When a request is hedged, or canceled to be retried elsewhere.
+// Limits for hedged requests, and for canceling an attempt to retry it elsewhere.
 const (
-	hedgesPerPart  = 0.02 // hedged requests that a part earns, times the square root of Instances
-	maxHedgeTokens = 16   // most hedged requests that are kept for later
-	cancelOverdue  = 2.0  // overdue times after which a part is canceled and retried, without hedging
+	hedgesPerPart  = 0.02 // hedge tokens that a part earns, times the square root of Instances
+	maxHedgeTokens = 16   // maximum number of hedge tokens retained
+	cancelOverdue  = 2.0  // overdue times after which an attempt is canceled where hedging is not allowed
 )
 
-// hedge sends a second request for a part whose attempt is overdue, or cancels it where hedging is not
-// allowed.
+// hedge sends a second request for a part whose attempt is overdue, or cancels the attempt where hedging is
+// not allowed.
 func (b *Balancer) hedge(part *part) {
 	attempt := part.lastAttempt()
 	if !b.hedgeable(part, attempt) || micros(b.now-attempt.sent) <= b.hedgeAfter(part, attempt) ||
@@ -21,7 +21,7 @@
 	if server == nil || !server.acceptsHedges(part.query.Class) {
 		return
 	}
-	// A backlog says why the attempt is late: it is done there all the same, and no sooner behind another.
+	// A backlog explains the overdue attempt: it is served there, and no sooner behind another backlog.
 	current := attempt.server
 	backlogged := b.fleet.Backlogged(&current.Server, b.now) && current.Path.Usable()
 	if backlogged && !current.nearlyExcluded() && b.fleet.Backlogged(&server.Server, b.now) {
@@ -35,12 +35,12 @@
 	}
 }
 
-// acceptsHedges reports whether a server may get hedged requests of a class.
+// acceptsHedges reports whether a server may receive hedged requests of a class.
 func (s *server) acceptsHedges(class int) bool {
 	return s.PenaltyFor(class) == 0 && !s.Unresponsive && !s.nearlyExcluded()
 }
 
-// hedgeable reports whether a part may have a second request beside its last attempt.
+// hedgeable reports whether a part may have a second request in addition to its last attempt.
 func (b *Balancer) hedgeable(part *part, attempt *attempt) bool {
 	if len(part.inFlight) > 1 || part.attempts >= part.query.maxAttempts || attempt.canceled {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// hedgeAfter is the age in microseconds beyond which an attempt is hedged or canceled.
+// hedgeAfter returns the age beyond which an attempt is hedged or canceled, in microseconds.
 func (b *Balancer) hedgeAfter(part *part, attempt *attempt) float64 {
 	server := attempt.server
 	if b.settings.CanHedge {
@@ -63,9 +63,9 @@
 		}
 		return b.fleet.Overdue()
 	}
-	// To start over loses the time waited and adds work, and the overdue parts of a healthy server are heavy
-	// ones, overdue again elsewhere: only where the server answers nothing, or so late that the part is lost
-	// there.
+	// A restart loses the time waited and adds work, and the overdue parts of a healthy server are expensive
+	// ones that would be overdue elsewhere too. Restart only if the server is unresponsive, or if the part is
+	// so long overdue that it must be lost.
 	class := &server.PerClass[part.query.Class]
 	if server.Listed && class.LastSuccess > attempt.sent && class.LossRate < suspicion.LossSmoothing {
 		return suspicion.LostFactor * b.fleet.Overdue()
--- a/balance/hedging_test.go
+++ b/balance/hedging_test.go
@@ -43,19 +43,19 @@
 	for range 40 {
 		h.now += 10 * ms
 		actions := h.turn(TimerFired{})
-		h.wantNone(actions, "attempt beside another", countOf[Send](actions)+countOf[Hedge](actions))
+		h.wantNone(actions, "second attempt of a part", countOf[Send](actions)+countOf[Hedge](actions))
 		if countOf[Cancel](actions) > 0 {
-			if again := onlyAction[Send](h, h.end(send, 0, Canceled, 5*ms)); again.Replica == send.Replica {
+			if retry := onlyAction[Send](h, h.end(send, 0, Canceled, 5*ms)); retry.Replica == send.Replica {
 				t.Errorf("sent again to the unresponsive server")
 			}
 			return
 		}
 	}
-	t.Error("a part at an unresponsive server was never canceled")
+	t.Error("an attempt at an unresponsive server was never canceled")
 }
 
-// A part that is canceled overdue, at a server that answered nothing since or was slower than the hedged request,
-// leaves a penalty like a failure.
+// An overdue attempt that is canceled counts as a failure of its server if the server has answered nothing
+// since or was slower than the hedged request.
 func TestHedge_CanceledOverdueAttemptLeavesAPenalty(t *testing.T) {
 	h := newHarness(t, testSettings())
 	send, hedge := h.hedged()
@@ -63,11 +63,11 @@
 	h.now += 50 * ms
 	h.turn(AttemptEnded{Part: send.Part, Attempt: 1, Replica: hedge.Replica, Result: OK, Elapsed: 50 * ms})
 	if h.b.hedgeTokens != tokens+1 {
-		t.Errorf("tokens %v -> %v: a hedged request that answers first pays for the next", tokens, h.b.hedgeTokens)
+		t.Errorf("tokens %v -> %v: a hedged request that is answered first must earn a token", tokens, h.b.hedgeTokens)
 	}
 	h.end(send, 0, Canceled, 5*ms)
 	if d := h.b.servers[send.Replica].Penalty; d < 1 {
-		t.Errorf("penalty %v in a server that lost a part", d)
+		t.Errorf("penalty %v of a server that lost a part", d)
 	}
 	send = h.sendOnePart(0)
 	h.end(send, 0, Canceled, 20*ms)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Where only one attempt may be in flight, the overdue part of a quiet server is a heavy one and stays: it would
-// be overdue elsewhere too. Only a server that shows nothing for twice as long loses it.
+// Without hedging, an overdue part is not canceled at first: it is probably an expensive one that would be
+// overdue elsewhere too. Only after twice the overdue time without any answer from the server is it canceled.
 func TestHedge_HeavyPartIsNotCanceled(t *testing.T) {
 	settings := testSettings()
 	settings.CanHedge = false
@@ -95,8 +95,9 @@
 	}
 }
 
-// A part is canceled though its server answers others of the class, once it is so long overdue that it must be
-// lost. What is lost is no load, and a cancellation after which the part is answered elsewhere earns the next one.
+// An attempt is canceled although its server answers others of the class once it is so long overdue that it
+// must be lost. A lost part does not count as load, and a cancellation after which the part is answered
+// elsewhere earns a token.
 func TestHedge_PartsLostAmongOthers(t *testing.T) {
 	settings := testSettings()
 	settings.CanHedge = false
@@ -118,25 +119,25 @@
 		t.Errorf("canceled after %v, lost after %v", canceledAfter, duration(lostAfter))
 	}
 	if server.Lost != 1 || server.HealthyFor(0) {
-		t.Errorf("%d parts are lost there, healthy: %v", server.Lost, server.HealthyFor(0))
+		t.Errorf("%d parts count as lost at the server, healthy: %v", server.Lost, server.HealthyFor(0))
 	}
 	if r := h.b.rank(server); r > 10*micros(100*ms) {
 		t.Errorf("rank %v: a lost part counts as load", r)
 	}
 	penalty := server.Penalty
 	tokens := h.b.hedgeTokens
-	again := onlyAction[Send](h, h.turn(endOf(lost, Canceled)))
-	if server.Penalty != penalty || server.PerClass[0].Penalty != 1 || again.Replica == lost.Replica {
-		t.Errorf("penalty %v, with the class %v; again at %s",
-			server.Penalty, server.PerClass[0].Penalty, again.Replica)
+	retry := onlyAction[Send](h, h.turn(endOf(lost, Canceled)))
+	if server.Penalty != penalty || server.PerClass[0].Penalty != 1 || retry.Replica == lost.Replica {
+		t.Errorf("penalty %v, of the class %v; sent again to %s",
+			server.Penalty, server.PerClass[0].Penalty, retry.Replica)
 	}
-	h.end(again, 1, OK, 100*ms)
+	h.end(retry, 1, OK, 100*ms)
 	if h.b.hedgeTokens < tokens+1 {
 		t.Errorf("%v tokens after %v", h.b.hedgeTokens, tokens)
 	}
 }
 
-// A part is not canceled at a server with a backlog in order to be sent where nearly all parts are lost.
+// An attempt at a server with a backlog is not canceled if the only other servers lose nearly all parts.
 func TestHedge_PartIsNotCanceledForAnExcludedServer(t *testing.T) {
 	for _, othersExcluded := range []bool{true, false} {
 		h := newFleetHarness(t)
@@ -156,8 +157,9 @@
 	}
 }
 
-// Nor is a part canceled at a server that is up, for another whose queue is long: it would wait there as long, and the
-// first does its work all the same. Guards against two crowded replicas that finish only what was canceled.
+// An attempt is not canceled at a responsive server if the other server has a long queue too: the part would
+// wait there as long, and the first server does the work anyway. Guards against overloaded replicas that
+// complete only canceled attempts.
 func TestHedge_PartIsNotCanceledBetweenCrowdedServers(t *testing.T) {
 	for _, test := range []struct {
 		queue      float64
@@ -184,13 +186,13 @@
 	}
 }
 
-// A part is canceled at a server without a backlog even for one that has a backlog: no queue explains why it is
-// overdue. Guards against parts sent over a cut path that stayed in flight until their query's end, for 1.33 s of
-// 1.34 s, because the replicas in the own zone had long queues, or had been reported with long queues while
-// messages still came.
+// An attempt is canceled at a server without a backlog even if the other servers have one, as no queue
+// explains why it is overdue. Guards against parts sent over a cut path that stayed in flight until their
+// query ended, for 1.33 s of its 1.34 s, because the replicas in the own zone had long queues, or had been
+// reported with long queues before the gossip messages stopped arriving.
 func TestHedge_PartIsCanceledWhereNothingSaysWhyItIsLate(t *testing.T) {
 	for _, test := range []struct {
-		ownQueue      float64 // of the server that has the part
+		ownQueue      float64 // of the server to which the part was sent
 		otherQueues   float64
 		otherWereLong bool // by a message of four seconds ago
 		isCanceled    bool
@@ -201,7 +203,7 @@
 	} {
 		h := newFleetHarness(t)
 		h.b.hedgeTokens = 10
-		at := h.sendOnePart(0).Replica
+		sentTo := h.sendOnePart(0).Replica
 		canceled := 0
 		for range 120 {
 			h.now += 5 * ms
@@ -209,7 +211,7 @@
 				server.ReportedAt = h.now
 				server.Queue = test.otherQueues
 				server.QueueWasLong = test.otherWereLong
-				if id == at {
+				if id == sentTo {
 					server.Queue = test.ownQueue
 				} else if test.otherWereLong {
 					server.ReportedAt -= 4 * time.Second
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// counts serves n one-part queries of class 0 and returns how many attempts each server got.
+// counts serves n one-part queries of class 0 and returns how many attempts each server received.
 func (h *harness) counts(n int) map[Replica]int {
 	h.Helper()
 	got := map[Replica]int{}
@@ -23,8 +23,8 @@
 	return list
 }
 
-// An ejected server gets nothing of that class while another replica is listed, but for one part for each
-// half-open request that is granted; where all are ejected, parts go there all the same.
+// While another replica is listed, an ejected server receives no part of the class except one for each
+// granted half-open request. If all replicas are ejected, they receive parts nevertheless.
 func TestLimits_EjectedServerGetsHalfOpenRequestsOnly(t *testing.T) {
 	h := newHarness(t, testSettings(), endpointsWithLimits(HealthLimits{EjectedClasses: 1})...)
 	if n := h.counts(50)["a"]; n != 0 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A part that is not idempotent waits for a busy replica rather than go to an ejected one.
+// A non-idempotent part waits for a busy replica and is not sent to an ejected one.
 func TestLimits_EjectedServerIsNoWayAroundABusyOne(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency = NonIdempotent
@@ -84,26 +84,26 @@
 		t.Fatalf("sent to %s", send.Replica)
 	}
 	actions := h.begin(newQuery{parts: 1})
-	h.wantNone(actions, "second part at a server that takes one", countOf[Send](actions))
+	h.wantNone(actions, "second part at a server limited to one", countOf[Send](actions))
 }
 
-// A server gets no more parts at once than its limit of requests in flight.
+// The number of parts in flight at a server stays within its limit.
 func TestLimits_MaxInFlight(t *testing.T) {
 	h := newHarness(t, testSettings(), endpointsWithLimits(HealthLimits{MaxInFlight: 2})...)
-	out := 0
+	inFlight := 0
 	for range 30 {
 		for _, send := range actionsOf[Send](h.begin(newQuery{parts: 1})) {
 			if send.Replica == "a" {
-				out++
+				inFlight++
 			}
 		}
 	}
-	if out != 2 {
-		t.Errorf("%d parts in flight at a server that takes 2", out)
+	if inFlight != 2 {
+		t.Errorf("%d parts in flight at a server limited to 2", inFlight)
 	}
 }
 
-// A server with traffic fraction 0.25 beside two with all of their traffic gets 8 to 20 % of the parts.
+// A server with traffic fraction 0.25 next to two without a limit receives 8 to 20 % of the parts.
 func TestLimits_TrafficFraction(t *testing.T) {
 	h := newHarness(t, testSettings(), endpointsWithLimits(HealthLimits{TrafficFraction: 0.25})...)
 	got := h.counts(2000)
@@ -112,7 +112,7 @@
 	}
 }
 
-// A zero HealthLimits changes nothing: the same choices with the same seed.
+// A traffic fraction of 1 leads to the same choices as zero HealthLimits with the same seed.
 func TestLimits_NoneChangeNothing(t *testing.T) {
 	trace := func(e HealthLimits) (got []Replica) {
 		h := newHarness(t, testSettings(), endpointsWithLimits(e)...)
@@ -132,11 +132,12 @@
 	}
 }
 
-// A part that names its candidates goes to them only, and to one with a traffic fraction less often. When the last
-// candidate is removed the query ends at once; a replica that replaces it gets the part.
+// A part with candidates is sent to them only, and less often to one with a traffic fraction. If its last
+// candidate is removed, the query is rejected immediately; if that is replaced by another, the other receives
+// the part.
 func TestLimits_PartsNameTheirCandidates(t *testing.T) {
 	h := newHarness(t, testSettings())
-	holders := func(list ...Candidate) (ID, []Event) {
+	withCandidates := func(list ...Candidate) (ID, []Event) {
 		id, events := h.query(newQuery{parts: 1})
 		p := events[1].(Part)
 		p.Candidates = list
@@ -145,7 +146,7 @@
 	}
 	got := map[Replica]int{}
 	for range 1000 {
-		_, events := holders(
+		_, events := withCandidates(
 			Candidate{Replica: "a", TrafficFraction: 0.25},
 			Candidate{Replica: "b"},
 			Candidate{Replica: "unlisted"},
@@ -157,7 +158,7 @@
 	if got["c"] != 0 || got["a"] < 50 || got["a"] > 350 || got["a"]+got["b"] != 1000 {
 		t.Errorf("%v", got)
 	}
-	id, events := holders(Candidate{Replica: "a"})
+	id, events := withCandidates(Candidate{Replica: "a"})
 	send := onlyAction[Send](h, h.turn(events...))
 	if actions := h.turn(
 		CandidatesChanged{Part: send.Part, Candidates: []Candidate{}},
@@ -165,7 +166,7 @@
 	); onlyAction[Reject](h, actions).Query != id {
 		t.Errorf("%v", actions)
 	}
-	_, events = holders(Candidate{Replica: "a"})
+	_, events = withCandidates(Candidate{Replica: "a"})
 	send = onlyAction[Send](h, h.turn(events...))
 	if actions := h.turn(
 		CandidatesChanged{Part: send.Part, Candidates: []Candidate{{Replica: "c"}}},
--- a/balance/lookup.go
+++ b/balance/lookup.go
@@ -1,13 +1,13 @@
 package balance
 
-// This file decides nothing: it looks up what a Balancer remembers, and adds and removes it.
+// This file decides nothing: it looks up, adds and removes entries of a Balancer's state.
 
 import (
 	"slices"
 	"time"
 )
 
-// replicas are the servers in service that hold a shard.
+// replicas returns the servers in service that store a shard.
 func (b *Balancer) replicas(shard int) []*server {
 	var all []*server
 	for j := range min(b.settings.Reach, b.settings.Cells) {
@@ -16,7 +16,7 @@
 	return all
 }
 
-// candidates are the servers in service that may be asked for a part.
+// candidates returns the servers in service to which a part may be sent.
 func (b *Balancer) candidates(part *part) (all []*server) {
 	if part.Candidates == nil {
 		return b.replicas(part.Shard)
@@ -29,7 +29,7 @@
 	return all
 }
 
-// indexEndpoints puts the listed servers where parts and gossip messages look for them.
+// indexEndpoints indexes the listed servers by cell and by gossip key.
 func (b *Balancer) indexEndpoints() {
 	for i := range b.cells {
 		b.cells[i] = b.cells[i][:0]
@@ -38,7 +38,7 @@
 	b.fleet.Servers = b.fleet.Servers[:0]
 	for _, server := range b.endpoints {
 		b.fleet.Servers = append(b.fleet.Servers, &server.Server)
-		if _, twice := b.byGossipKey[server.gossipKey]; twice || !server.Listed {
+		if _, duplicate := b.byGossipKey[server.gossipKey]; duplicate || !server.Listed {
 			b.byGossipKey[server.gossipKey] = nil
 		} else {
 			b.byGossipKey[server.gossipKey] = server
@@ -49,7 +49,7 @@
 	}
 }
 
-// addAttempt adds an attempt of a part that is sent to a server now to those in flight.
+// addAttempt adds an attempt of a part, sent to a server now, to the attempts in flight.
 func (b *Balancer) addAttempt(part *part, server *server) {
 	added := &attempt{part: part, server: server, number: part.attempts, sent: b.now}
 	part.attempts++
@@ -58,7 +58,7 @@
 	b.fleet.RecordSend(&server.Server, part.query.Class, b.now)
 }
 
-// removeAttempt takes an attempt that ended from all that are in flight; it returns nil if there is none.
+// removeAttempt removes an ended attempt from the attempts in flight. It returns nil if there is none.
 func (b *Balancer) removeAttempt(key attemptKey) *attempt {
 	ended := b.attempts[key]
 	if ended == nil {
@@ -71,12 +71,13 @@
 	return ended
 }
 
-// lastAttempt is the latest attempt in flight. There must be one.
+// lastAttempt returns the latest attempt in flight, of which there must be one.
 func (p *part) lastAttempt() *attempt { return p.inFlight[len(p.inFlight)-1] }
 
-func (p *part) mightHaveRun() bool { return p.mayHaveRun || p.answered || len(p.inFlight) > 0 }
+// mayHaveStarted reports whether the part may have run or may still run, in flight attempts included.
+func (p *part) mayHaveStarted() bool { return p.mayHaveRun || p.answered || len(p.inFlight) > 0 }
 
-// recordMayHaveRun notes that an attempt that ended may have run.
+// recordMayHaveRun records that an ended attempt may have run.
 func (p *part) recordMayHaveRun(a *attempt) {
 	if !p.mayHaveRun || a.sent < p.firstMayHaveRun {
 		p.mayHaveRun = true
@@ -84,11 +85,11 @@
 	}
 }
 
-// prefer narrows servers down, in place, to those for which holds is true. If there are none it returns all.
-func prefer(servers []*server, holds func(*server) bool) []*server {
+// prefer narrows servers down, in place, to those that are preferred. If there are none, it returns all.
+func prefer(servers []*server, preferred func(*server) bool) []*server {
 	n := 0
 	for i, server := range servers {
-		if holds(server) {
+		if preferred(server) {
 			servers[i], servers[n] = servers[n], server
 			n++
 		}
@@ -99,7 +100,7 @@
 	return servers[:n]
 }
 
-// addQuery adds a query that has come, under the settings of now.
+// addQuery adds a new query under the current settings.
 func (b *Balancer) addQuery(arrived Query) {
 	class := &b.settings.Classes[arrived.Class]
 	query := &query{
@@ -117,21 +118,22 @@
 
 func (b *Balancer) addPart(arrived Part) {
 	query := b.byGroup[arrived.Group]
-	if query == nil || query.done {
+	if query == nil || query.completed {
 		return
 	}
 	part := &part{Part: arrived, query: query}
 	b.fleet.Demand.Offered++
-	part.warmupTarget = b.sampleWarming(part)
+	part.warmupTarget = b.sampleWarmupTarget(part)
 	query.parts = append(query.parts, part)
 	b.parts[arrived.ID] = part
 	b.retryBudget.RecordRequest(b.now)
 	b.outbox.Budget.Earn(1)
 }
 
-// endQuery forgets a query that is over and cancels what is still in flight.
+// endQuery removes a query that is completed or whose client disconnected, and cancels its attempts in
+// flight.
 func (b *Balancer) endQuery(q *query) {
-	q.done = true
+	q.completed = true
 	delete(b.byID, q.ID)
 	if b.byGroup[q.Group] == q {
 		delete(b.byGroup, q.Group)
@@ -156,17 +158,18 @@
 	}
 }
 
-// mayHaveCrashed reports whether the server lost connections and is still being probed for it.
+// mayHaveCrashed reports whether connections to the server were reset and its probe has not ended yet.
 func (s *server) mayHaveCrashed() bool { return len(s.resetQueries) > 0 }
 
-// ejectedAt and healthyAt report what a server is to the part's class.
+// ejectedAt and healthyAt report whether a server is ejected or healthy for the part's class.
 func (p *part) ejectedAt(s *server) bool { return s.ejected(p.query.Class) }
 func (p *part) healthyAt(s *server) bool { return s.HealthyFor(p.query.Class) }
 
-// mayBeHalfOpen reports whether the part's next attempt may be a half-open request: a query carries one, and no retry is.
+// mayBeHalfOpen reports whether the part's next attempt may be a half-open request. A query sends at most
+// one, and never as a retry.
 func (p *part) mayBeHalfOpen() bool { return p.attempts == 0 && !p.query.halfOpenUsed }
 
-// resolveResets notes whether a server that lost connections crashed; it runs on if only answers were lost.
+// resolveResets records whether a server whose connections were reset crashed, or only lost answers.
 func (s *server) resolveResets(crashed bool) {
 	for _, q := range s.resetQueries {
 		if crashed {
@@ -176,8 +179,8 @@
 	s.resetQueries = nil
 }
 
-// Avoids reports whether a replica gets next to nothing at present, as it is down or an outlier. One that is only suspected,
-// or full, is no more than less preferred.
+// Avoids reports whether a replica currently receives almost no parts because it is down or an outlier. A
+// replica that is only suspected or full is merely less preferred.
 func (b *Balancer) Avoids(replica Replica) bool {
 	server := b.servers[replica]
 	return server != nil && (b.now < server.avoidUntil && server.Penalty > 0 || server.nearlyExcluded())
--- a/balance/path_test.go
+++ b/balance/path_test.go
@@ -9,7 +9,8 @@
 	"rooktrestle/internal/control/suspicion"
 )
 
-// Where all servers of a zone look slow, the path is at fault. They are avoided together, and one part tests the path.
+// If all servers of a zone appear slow, the path is at fault: they are avoided together, and one part tests
+// the path.
 func TestPath_SlowOneIsAvoidedAsAWhole(t *testing.T) {
 	h := newHarness(t, testSettings(), twoZones()...)
 	h.serve(60, 100*ms)
@@ -20,45 +21,47 @@
 	}
 	h.b.paths[1].NextHalfOpen = h.now + time.Hour
 	_, events := h.query(newQuery{parts: 6})
-	far := func() (n int) {
+	remoteSends := func() (n int) {
 		for _, send := range actionsOf[Send](h.turn(events...)) {
 			n += h.b.servers[send.Replica].zone
 		}
 		return n
 	}
-	if n := far(); n != 0 {
+	if n := remoteSends(); n != 0 {
 		t.Errorf("%d parts over a slow path", n)
 	}
 	h.b.paths[1].NextHalfOpen = 0
 	_, events = h.query(newQuery{parts: 6})
-	if n := far(); n != 1 {
-		t.Errorf("%d parts test the path, want 1", n)
+	if n := remoteSends(); n != 1 {
+		t.Errorf("%d parts sent to test the path, want 1", n)
 	}
 }
 
-// The last answers of a wide query are its slowest: they do not make a path slow, unless all are.
+// The last answers of a wide query are its slowest. They do not make a path count as slow unless all answers
+// are slow.
 func TestPath_SlowPartsDoNotMakeItSlow(t *testing.T) {
 	h := newHarness(t, testSettings(), twoZones()...)
 	h.serve(60, 100*ms)
-	far := h.b.servers["b"]
-	h.b.fleet.RecordAnswer(&far.Server, h.now, 100e3, 40)
+	remote := h.b.servers["b"]
+	h.b.fleet.RecordAnswer(&remote.Server, h.now, 100e3, 40)
 	for range 12 {
-		h.b.fleet.RecordAnswer(&far.Server, h.now, 600e3, 40)
+		h.b.fleet.RecordAnswer(&remote.Server, h.now, 600e3, 40)
 	}
 	h.turn(TimerFired{})
-	if !far.Path.Usable() {
+	if !remote.Path.Usable() {
 		t.Error("a few slow parts made the path slow")
 	}
 	for range 40 {
-		h.b.fleet.RecordAnswer(&far.Server, h.now, 1.5e6, 40)
+		h.b.fleet.RecordAnswer(&remote.Server, h.now, 1.5e6, 40)
 	}
 	h.turn(TimerFired{})
-	if far.Path.Usable() {
-		t.Error("every answer takes long, and the path is still used")
+	if remote.Path.Usable() {
+		t.Error("all answers are slow, and the path is still usable")
 	}
 }
 
-// Failures count against a path only once there are twice as many as requests in flight there. Any answer clears them.
+// Failures make a path unusable only if there are twice as many as requests in flight over it. Any answer
+// clears them.
 func TestPath_FewFastFailuresDoNotCloseIt(t *testing.T) {
 	h := newHarness(t, testSettings(), twoZones()...)
 	path := h.b.paths[1]
@@ -68,27 +71,27 @@
 		server.RecordClassFailure(0, h.now, h.now, h.b.halfOpenDelay())
 	}
 	if !path.Usable() {
-		t.Error("four failures with twenty parts in flight closed the path")
+		t.Error("four failures with twenty parts in flight made the path unusable")
 	}
 	path.InFlight = nil
 	if path.Usable() {
-		t.Error("four failures and nothing in flight: the path must be avoided")
+		t.Error("the path is usable after four failures with nothing in flight")
 	}
 	h.b.fleet.RecordAnswer(&server.Server, h.now, 100e3, 1)
 	if !path.Usable() {
-		t.Error("an answer must open the path")
+		t.Error("the path is not usable after an answer")
 	}
 }
 
-// Many parts are in flight over a path and nothing comes back: the path is avoided before any of them is overdue, and
-// they are moved. A few slow parts do not suffice.
+// If many parts are in flight over a path and none is answered, the path is avoided before any of them is
+// overdue, and they are canceled to be sent elsewhere. A few slow parts do not suffice.
 func TestPath_OneThatTakesAllPartsIsAvoidedEarly(t *testing.T) {
 	for _, test := range []struct {
-		parts  int
-		silent bool
+		parts      int
+		unanswered bool
 	}{
-		{parts: suspicion.MaxTypicalOverdue, silent: true},
-		{parts: 3, silent: false},
+		{parts: suspicion.MaxTypicalOverdue, unanswered: true},
+		{parts: 3, unanswered: false},
 	} {
 		settings := testSettings()
 		settings.CanHedge = false
@@ -98,7 +101,7 @@
 		h.b.hedgeTokens = maxHedgeTokens
 		h.now += time.Millisecond
 		for _, server := range h.b.endpoints {
-			server.avoidUntil = h.now // all may be sent to
+			server.avoidUntil = h.now // may be sent to from now on
 			if server.zone == 0 {
 				server.avoidUntil = h.now + time.Hour
 			}
@@ -111,13 +114,13 @@
 		}
 		h.now += 160 * ms
 		h.turn(TimerFired{})
-		if h.b.paths[1].Usable() == test.silent {
+		if h.b.paths[1].Usable() == test.unanswered {
 			t.Errorf("%d parts in flight, none answered: path usable %v", test.parts, h.b.paths[1].Usable())
 		}
 		h.now += 10 * ms
 		isCanceled := func(a *attempt) bool { return a.canceled }
-		if test.silent && !slices.ContainsFunc(attemptsInOrder(h.b), isCanceled) {
-			t.Errorf("none of %d parts is moved", len(h.b.attempts))
+		if test.unanswered && !slices.ContainsFunc(attemptsInOrder(h.b), isCanceled) {
+			t.Errorf("none of %d attempts was canceled", len(h.b.attempts))
 		}
 	}
 }
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -7,17 +7,17 @@
 	"rooktrestle/internal/control/gossip"
 )
 
-// When replicas are probed for their load.
+// Limits for load probes.
 const (
-	probesPerPart    = 0.15  // probes that a part earns
-	maxProbesPerPart = 2     // most probes kept from earlier queries, for each part of a query
-	maxProbeWait     = 0.02  // of the shortest objective: the longest that a query waits for probes
-	minProbeInterval = 0.125 // of the shortest objective: least time between two probes of a server
+	probesPerPart    = 0.15  // probe tokens that a part earns
+	maxProbesPerPart = 2     // maximum number of probe tokens retained between queries, per part of a query
+	maxProbeWait     = 0.02  // longest wait of a query for probes, in shortest objectives
+	minProbeInterval = 0.125 // minimum time between two probes of a server, in shortest objectives
 )
 
-// probeReplicas probes the replicas of a new query's parts, as far as the parts have earned it, and reports
-// whether to wait for the results. One balancer of many meets a server so rarely that its last load report is
-// old.
+// probeReplicas probes the replicas of a new query's parts, as far as probe tokens allow, and reports whether
+// to wait for the results. One of many balancers contacts a server so rarely that its last load report from
+// there is out of date.
 func (b *Balancer) probeReplicas(query *query) (wait bool) {
 	if !b.settings.CanProbe || !b.settings.LoadReportsOnProbe {
 		return false
--- a/balance/probing_test.go
+++ b/balance/probing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A new query probes its replicas and waits for the load report, but not for long if none comes.
+// A new query probes its replicas and waits a limited time for the load report.
 func TestProbe_NewQueryProbesItsReplicas(t *testing.T) {
 	settings := testSettings()
 	settings.CanProbe = true
@@ -17,7 +17,7 @@
 	if len(probes) != 1 {
 		t.Fatalf("want one probe, got %v", actions)
 	}
-	h.wantNone(actions, "send before the report", countOf[Send](actions))
+	h.wantNone(actions, "send before the load report", countOf[Send](actions))
 	h.now += 5 * ms
 	actions = h.turn(ProbeEnded{
 		Replica: probes[0].Replica,
@@ -26,7 +26,7 @@
 	})
 	for _, send := range actionsOf[Send](actions)[:2] {
 		if send.Replica == probes[0].Replica {
-			t.Error("the replica that reports nine parts in flight was not passed over")
+			t.Error("a part went to the replica that reports nine parts in flight")
 		}
 	}
 	h.now += time.Second
@@ -34,6 +34,6 @@
 	h.begin(newQuery{parts: 3})
 	h.now += 30 * ms
 	if n := countOf[Send](h.turn(TimerFired{})); n == 0 {
-		t.Error("still waiting for a report that does not come")
+		t.Error("still waiting for a load report that does not arrive")
 	}
 }
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file decides nothing: it works out how far a query has come and how much time it has left.
+// This file decides nothing: it computes the progress of a query and its remaining time.
 
 import (
 	"time"
@@ -10,65 +10,64 @@
 )
 
 const (
-	weightTolerance        = 5e-5 // weights of parts add up to 1 apart from this
-	timeLeftToleranceTicks = 2    // ticks by which the time left of first attempts may differ
-	maxFollowUpReserve     = 0.5  // of the objective: the most time kept for a second step
+	weightTolerance             = 5e-5 // allowed rounding error of sums of part weights
+	remainingTimeToleranceTicks = 2    // ticks by which the remaining times of first attempts may differ
+	maxFollowUpReserve          = 0.5  // most time reserved for a second step, as a fraction of the objective
 )
 
-// progress is how far a query's step has come.
+// progress is the progress of a query's step.
 type progress struct {
-	weight    float64 // of the parts answered
-	reachable float64 // what that may still come to
-	needed    float64 // of a complete answer
-	least     float64 // of any answer
-	answered  int     // number of parts
-	waiting   bool    // a second step waits for all of its parts
+	weight    float64 // of the answered parts
+	reachable float64 // weight that can still be reached
+	needed    float64 // minimum weight of a complete answer
+	minimum   float64 // minimum weight of any answer
+	answered  int     // number of answered parts
+	waiting   bool    // this is a second step, with unanswered parts
 }
 
-// complete reports whether an answer is complete.
+// complete reports whether the answer is complete.
 func (p progress) complete() bool { return p.weight >= p.needed-weightTolerance && !p.waiting }
 
-// partial reports whether there is enough for an answer that is not complete.
+// partial reports whether the weight suffices for a partial answer.
 func (p progress) partial() bool {
-	return p.weight > 0 && p.weight >= p.least-weightTolerance && p.least < p.needed
+	return p.weight > 0 && p.weight >= p.minimum-weightTolerance && p.minimum < p.needed
 }
 
-// completable reports whether an answer may still become complete.
+// completable reports whether the answer may still become complete.
 func (p progress) completable() bool { return p.reachable >= p.needed-weightTolerance }
 
-// answerable reports whether there may still be enough for an answer.
+// answerable reports whether the weight may still suffice for any answer.
 func (p progress) answerable() bool {
-	return p.completable() || p.reachable >= p.least-weightTolerance && p.least < p.needed
+	return p.completable() || p.reachable >= p.minimum-weightTolerance && p.minimum < p.needed
 }
 
-// ending is what becomes of a query's step.
-type ending int
+// stepOutcome is how a query's step continues or ends.
+type stepOutcome int
 
 const (
-	continues ending = iota
-	answeredComplete
-	answeredPartly
-	givenUp
+	stepContinues stepOutcome = iota
+	stepAnsweredCompletely
+	stepAnsweredPartially
+	stepUnanswered
 )
 
-// progress sums up the parts of a query's step.
+// progress returns the progress of a query's current step.
 func (q *query) progress() progress {
-	done := progress{needed: q.neededWeight(), least: q.minWeight()}
+	sum := progress{needed: q.neededWeight(), minimum: q.minWeight()}
 	for _, part := range q.parts {
 		if part.answered {
-			done.weight += part.Weight
-			done.answered++
+			sum.weight += part.Weight
+			sum.answered++
 		}
 		if !part.abandoned {
-			done.reachable += part.Weight
+			sum.reachable += part.Weight
 		}
 	}
-	done.waiting = q.step > 0 && done.answered < len(q.parts)
-	return done
+	sum.waiting = q.step > 0 && sum.answered < len(q.parts)
+	return sum
 }
 
-// neededWeight is the weight of the parts that make an answer complete, and minWeight the least for any
-// answer.
+// neededWeight returns the minimum weight of a complete answer, and minWeight that of any answer.
 func (q *query) neededWeight() float64 {
 	if q.step > 0 {
 		return 1
@@ -83,7 +82,7 @@
 	return min(q.class.MinFraction, q.neededWeight())
 }
 
-// expectedWeight adds to weight that of the parts in flight that are not late yet.
+// expectedWeight returns weight plus that of the parts in flight for no longer than the typical latency.
 func (b *Balancer) expectedWeight(q *query, weight float64) float64 {
 	for _, p := range q.parts {
 		if len(p.inFlight) > 0 && !p.answered && micros(b.now-p.lastAttempt().sent) <= b.fleet.Typical() {
@@ -93,22 +92,23 @@
 	return weight
 }
 
-// timeSpent is how long a client has waited in earlier attempts of a query; it counts against the objective.
-func (b *Balancer) timeSpent(e Query) time.Duration {
+// timeSpent returns how long the client has waited in previous attempts of a query. That time counts against
+// the objective.
+func (b *Balancer) timeSpent(arrived Query) time.Duration {
 	attempt := retrydetect.Attempt{
-		TimeLeft:     e.TimeLeft,
-		Tolerance:    timeLeftToleranceTicks * b.settings.Tick,
+		TimeLeft:     arrived.TimeLeft,
+		Tolerance:    remainingTimeToleranceTicks * b.settings.Tick,
 		ClientsMark:  b.settings.ClientsMarkRetries,
-		MarkedARetry: e.IsRetry,
+		MarkedARetry: arrived.IsRetry,
 	}
-	if b.firstAttempts[e.Class].IsFirstAttempt(attempt) {
+	if b.firstAttempts[arrived.Class].IsFirstAttempt(attempt) {
 		return 0
 	}
-	return max(0, b.settings.Classes[e.Class].Deadline-e.TimeLeft)
+	return max(0, b.settings.Classes[arrived.Class].Deadline-arrived.TimeLeft)
 }
 
-// stepDue is when a query's step has to end for its answer to be in time: a first step leaves time for the
-// second.
+// stepDue returns when a query's step has to end for its answer to be within the objective. A first step
+// reserves time for the second.
 func (b *Balancer) stepDue(q *query) time.Duration {
 	if q.step > 0 || q.class.FollowUpParts == 0 {
 		return q.objective
--- a/balance/query.go
+++ b/balance/query.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// When queries begin, end and send their parts.
+// Delays of retries by clients, and limits on queries that crash servers.
 const (
-	retryAfterFactor = 2.0 // mean latencies until a rejected client may retry; half after a failure
-	maxCrashes       = 2   // servers that may crash under a query before it ends
-	suspectDeadlines = 4   // deadlines for which its class is then suspected of crashing servers
+	retryAfterFactor = 2.0 // Retry-After of a rejected query, in mean latencies; half if it was admitted
+	maxCrashes       = 2   // server crashes after which a query is ended
+	suspectDeadlines = 4   // how long its class is then suspected of crashing servers, in deadlines
 )
 
-// startQuery takes in a query; its parts follow as events of their own.
-func (b *Balancer) startQuery(arrived Query) {
+// receiveQuery adds a new query, or rejects one of an unknown class. Its parts follow as separate events.
+func (b *Balancer) receiveQuery(arrived Query) {
 	if arrived.Class < 0 || arrived.Class >= len(b.settings.Classes) {
 		b.emit(Reject{Query: arrived.ID})
 		return
@@ -22,9 +22,9 @@
 	b.retryBudget.RecordRequest(b.now)
 }
 
-// advance takes a query one step on: it ends the query, or sends what should be sent.
+// advance ends a query or sends those of its parts that are due.
 func (b *Balancer) advance(query *query) {
-	if query.step > 0 && len(query.parts) == 0 { // the parts of the second step have yet to come
+	if query.step > 0 && len(query.parts) == 0 { // the parts of the second step have not arrived
 		if b.now >= query.deadline-b.answerMargin() {
 			b.rejectOrFail(query, 0)
 		}
@@ -33,22 +33,23 @@
 	for _, part := range query.parts {
 		part.abandoned = part.abandoned || b.exhausted(part)
 	}
-	done := query.progress()
-	done.reachable = b.shedOptionalParts(query, done.reachable)
-	if b.finish(query, done) || !query.admitted && !b.begin(query) || b.stopCrashing(query, done.answered) {
+	progress := query.progress()
+	progress.reachable = b.shedOptionalParts(query, progress.reachable)
+	if b.finishStep(query, progress) || !query.admitted && !b.begin(query) ||
+		b.endIfCrashing(query, progress.answered) {
 		return
 	}
-	b.sendParts(query, done)
+	b.sendParts(query, progress)
 }
 
-// finish ends a query's step if it is over, and reports whether it did.
-func (b *Balancer) finish(query *query, done progress) bool {
-	switch b.ending(query, done) {
-	case answeredComplete:
+// finishStep ends a query's step if it need not or cannot continue, and reports whether it did.
+func (b *Balancer) finishStep(query *query, progress progress) bool {
+	switch b.stepOutcome(query, progress) {
+	case stepAnsweredCompletely:
 		b.answer(query, true)
-	case answeredPartly:
+	case stepAnsweredPartially:
 		b.answer(query, false)
-	case givenUp:
+	case stepUnanswered:
 		b.rejectOrFail(query, duration(retryAfterFactor*b.fleet.Mean/2))
 	default:
 		return false
@@ -56,28 +57,29 @@
 	return true
 }
 
-// ending decides whether a query's step is complete, out of time, or answered in part because that is worth
-// more now than a complete answer later.
-func (b *Balancer) ending(query *query, done progress) ending {
-	if done.complete() {
-		return answeredComplete
+// stepOutcome decides whether a query's step is complete, has expired, or is answered partially because that
+// earns more now than a complete answer later.
+func (b *Balancer) stepOutcome(query *query, progress progress) stepOutcome {
+	if progress.complete() {
+		return stepAnsweredCompletely
 	}
 	margin := b.answerMargin()
 	worthless := query.class.OverdueFraction <= 0 && b.now >= query.objective-margin
-	over := b.now >= query.deadline-margin || worthless || !done.answerable()
-	if over && !done.partial() {
-		return givenUp
+	mustEnd := b.now >= query.deadline-margin || worthless || !progress.answerable()
+	if mustEnd && !progress.partial() {
+		return stepUnanswered
 	}
-	noMoreExpected := !done.completable() && done.weight >= done.reachable-weightTolerance
+	noMoreExpected := !progress.completable() && progress.weight >= progress.reachable-weightTolerance
 	due := b.now >= b.stepDue(query)-margin && b.now < query.objective
-	partialEarnsMore := query.class.PartialFraction*done.weight/done.needed > query.class.OverdueFraction
-	if over || done.partial() && (noMoreExpected || due && partialEarnsMore) {
-		return answeredPartly
+	partialEarnsMore := query.class.PartialFraction*progress.weight/progress.needed >
+		query.class.OverdueFraction
+	if mustEnd || progress.partial() && (noMoreExpected || due && partialEarnsMore) {
+		return stepAnsweredPartially
 	}
-	return continues
+	return stepContinues
 }
 
-// answer answers a query's step, and goes on to the second if there is one.
+// answer answers a query's step, and starts the second step if the class has one.
 func (b *Balancer) answer(q *query, complete bool) {
 	b.emit(Answer{Query: q.ID, Complete: complete && (q.step == 0 || q.firstStepComplete)})
 	if q.step == 0 && q.class.FollowUpParts > 0 {
@@ -89,11 +91,11 @@
 	b.endQuery(q)
 }
 
-// rejectOrFail ends a query at once. It is rejected where a retry is harmless and fails elsewhere.
+// rejectOrFail ends a query immediately. It rejects the query if a retry is safe, and fails it otherwise.
 func (b *Balancer) rejectOrFail(query *query, retryAfter time.Duration) {
-	harmless := query.class.Idempotency == Idempotent ||
-		query.step == 0 && !slices.ContainsFunc(query.parts, (*part).mightHaveRun)
-	if harmless {
+	retrySafe := query.class.Idempotency == Idempotent ||
+		query.step == 0 && !slices.ContainsFunc(query.parts, (*part).mayHaveStarted)
+	if retrySafe {
 		b.emit(Reject{Query: query.ID, RetryAfter: min(retryAfter, b.settings.MaxRetryAfter)})
 	} else {
 		b.emit(Fail{Query: query.ID})
@@ -101,7 +103,7 @@
 	b.endQuery(query)
 }
 
-// begin admits a query or ends it, and reports whether its parts may be sent now.
+// begin admits or ends a query unless it waits for probes, and reports whether its parts may be sent now.
 func (b *Balancer) begin(query *query) bool {
 	if b.now < b.crashingKeys[query.Key] {
 		b.rejectOrFail(query, b.settings.MaxRetryAfter)
@@ -118,32 +120,32 @@
 	return true
 }
 
-// stopCrashing ends a query under which servers crash, and reports whether it did. For some time the query's
-// class then sends one part ahead of the others, as retries will come. Innocent queries pay with the time of
-// that part.
-func (b *Balancer) stopCrashing(query *query, answered int) bool {
+// endIfCrashing ends a query that appears to crash servers, and reports whether it did. Because the client
+// may retry it, queries of its class then send one part ahead of the others for some time. That delays
+// harmless queries by the latency of one part.
+func (b *Balancer) endIfCrashing(query *query, answered int) bool {
 	suspect := b.now < b.suspectUntil[query.Class]
 	if query.crashes <= answered || query.crashes < maxCrashes && !suspect {
 		return false
 	}
 	b.suspectUntil[query.Class] = b.now + suspectDeadlines*query.class.Deadline
-	if query.Key != "" { // a retry comes with the same key
+	if query.Key != "" { // a retry has the same key
 		b.crashingKeys[query.Key] = b.suspectUntil[query.Class]
 	}
 	b.rejectOrFail(query, b.settings.MaxRetryAfter)
 	return true
 }
 
-// sendParts sends the parts of a query that are due, as far as they are needed. Where some of the parts make
-// a complete answer the others are held in reserve: parts not needed cost work, and their retries the budget
-// of those that are. In place of an overdue part another is sent.
-func (b *Balancer) sendParts(query *query, done progress) {
-	expected := b.expectedWeight(query, done.weight)
-	target := done.needed - weightTolerance
+// sendParts sends the parts of a query that are due and needed. If fewer than all parts make a complete
+// answer, the others are held in reserve: parts that are not needed cost work, and their retries use up the
+// retry budget of those that are. A part of the reserve is sent in place of an overdue one.
+func (b *Balancer) sendParts(query *query, progress progress) {
+	expected := b.expectedWeight(query, progress.weight)
+	target := progress.needed - weightTolerance
 	suspect := b.now < b.suspectUntil[query.Class]
 	for pass := range sendPasses {
 		for _, part := range query.parts {
-			enough := expected >= target && done.needed < 1
+			enough := expected >= target && progress.needed < 1
 			if part.answered || part.abandoned || enough || !b.inPass(part, pass) {
 				continue
 			}
@@ -151,14 +153,14 @@
 			if len(part.inFlight) > 0 {
 				expected += part.Weight
 			}
-			if suspect && done.answered == 0 {
+			if suspect && progress.answered == 0 {
 				return
 			}
 		}
 	}
 }
 
-// The passes in which a query's parts are sent.
+// The passes of sendParts, in order.
 const (
 	firstAttemptsHealthy = iota // unsent parts with a healthy replica
 	firstAttempts               // all unsent parts
--- a/balance/query_test.go
+++ b/balance/query_test.go
@@ -11,12 +11,12 @@
 	send := onlyAction[Send](h, h.turn(events...))
 	h.now += 100 * ms
 	actions := h.turn(endOf(send, OK), ClientDisconnected{Query: id})
-	h.wantNone(actions, "action after the client left", countOf[Answer](actions))
+	h.wantNone(actions, "answer after the client disconnected", countOf[Answer](actions))
 	send = h.sendOnePart(0)
 	onlyAction[Answer](h, h.end(send, 0, OK, 100*ms))
 	actions = h.turn(ClientDisconnected{Query: id}, endOf(send, OK))
 	if len(actions) != 0 {
-		t.Errorf("actions for ids no longer held: %v", actions)
+		t.Errorf("actions for unknown IDs: %v", actions)
 	}
 }
 
@@ -65,7 +65,7 @@
 	h.turn(endOf(sends[0], OK))
 	h.now += 3*time.Second - 110*ms
 	actions = h.turn(TimerFired{})
-	h.wantNone(actions, "answer under the floor", countOf[Answer](actions))
+	h.wantNone(actions, "answer below the minimum fraction", countOf[Answer](actions))
 	onlyAction[Reject](h, actions)
 }
 
@@ -85,29 +85,29 @@
 	}
 }
 
-// A retry may have more time left than first attempts, which then must not count as retries.
+// A retry may have more remaining time than first attempts, which must not count as retries because of it.
 func TestQuery_LongerRetryDoesNotAgeFirstAttempts(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		settings := testSettings()
 		settings.ClientsMarkRetries = marks
 		h := newHarness(t, settings)
 		first := Query{Group: 1, TimeLeft: 2 * time.Second}
-		again := Query{Group: 2, TimeLeft: 2500 * ms, IsRetry: marks}
+		retry := Query{Group: 2, TimeLeft: 2500 * ms, IsRetry: marks}
 		for range 5 {
 			if w := h.b.timeSpent(first); w != 0 {
 				t.Errorf("marked %v: a first attempt has waited %v", marks, w)
 			}
 		}
-		if w := h.b.timeSpent(again); w != 500*ms {
+		if w := h.b.timeSpent(retry); w != 500*ms {
 			t.Errorf("marked %v: a retry with 2.5 of 3 s left has waited %v, want 0.5 s", marks, w)
 		}
 		if w := h.b.timeSpent(first); w != 0 {
-			t.Errorf("marked %v: a first attempt has waited %v after a longer one", marks, w)
+			t.Errorf("marked %v: a first attempt has waited %v after a retry with more time", marks, w)
 		}
 	}
 }
 
-// Parts that a complete answer does not need are held in reserve, and no retry is spent on them.
+// Parts that a complete answer does not need are held in reserve, and are sent before others are retried.
 func TestQuery_PartsNotNeededWaitInReserve(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].CompleteFraction = 0.6
@@ -123,7 +123,7 @@
 	actions := h.turn(endOf(sends[0], Failed))
 	next := onlyAction[Send](h, actions)
 	if next.Part == sends[0].Part {
-		t.Error("the failed part was sent again with others unsent")
+		t.Error("the failed part was sent again while others were unsent")
 	}
 	var ends []Event
 	for _, send := range append(sends[1:], next) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// A first step ends without its last part early enough to leave the second step some of the objective.
+// A first step ends without its last part early enough to reserve part of the objective for the second step.
 func TestQuery_FirstStepLeavesTimeForTheSecond(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].MinFraction = 0.5
@@ -155,7 +155,7 @@
 		h.now += 10 * ms
 		if a := actionsOf[Answer](h.turn(TimerFired{})); len(a) > 0 {
 			if left := start + time.Second - h.now; a[0].Query != id || a[0].Complete || left < 100*ms {
-				t.Errorf("answer %v with %v left for the second step", a[0], left)
+				t.Errorf("answer %v with %v remaining for the second step", a[0], left)
 			}
 			return
 		}
@@ -163,27 +163,28 @@
 	t.Error("no answer from two of three parts before the objective")
 }
 
-// Where half of a shard's replicas are excluded and the others are crowded, a query of the report class leaves out its
-// optional parts. It is answered at once from the others, and never from less than its least fraction.
+// If half of a shard's replicas are excluded and the others are overloaded, a query of the report class drops
+// its optional parts. It is answered as soon as the others are, and never with less than its minimum
+// fraction.
 func TestQuery_ShedsOptionalPartsOfCrowdedShards(t *testing.T) {
-	crowd := func(h *harness, queue float64) {
+	setQueues := func(h *harness, queue float64) {
 		for _, id := range []Replica{"c", "d"} {
 			h.b.servers[id].Queue = queue
 			h.b.servers[id].ReportedAt = h.now
 		}
 	}
 	for _, test := range []struct {
-		out         []Replica
+		excluded    []Replica
 		queue       float64
 		class, want int
 	}{
-		{out: []Replica{"a", "b"}, queue: 12, class: 1, want: 5}, // the floor is half of ten
-		{out: []Replica{"a", "b"}, queue: 12, class: 0, want: 10},
-		{out: []Replica{"a", "b"}, queue: 0, class: 1, want: 10},
-		{out: []Replica{"a"}, queue: 12, class: 1, want: 10},
+		{excluded: []Replica{"a", "b"}, queue: 12, class: 1, want: 5}, // the minimum is half of ten
+		{excluded: []Replica{"a", "b"}, queue: 12, class: 0, want: 10},
+		{excluded: []Replica{"a", "b"}, queue: 0, class: 1, want: 10},
+		{excluded: []Replica{"a"}, queue: 12, class: 1, want: 10},
 	} {
-		h := newFleetHarness(t, test.out...)
-		crowd(h, test.queue)
+		h := newFleetHarness(t, test.excluded...)
+		setQueues(h, test.queue)
 		id, events := h.query(newQuery{class: test.class, parts: 10})
 		sends := actionsOf[Send](h.turn(events...))
 		if len(sends) != test.want {
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -6,13 +6,13 @@
 	"rooktrestle/internal/control/fleet"
 )
 
-// The C3 rank. docs/decisions-design.md names every departure from it and says when it acts.
+// Parameters of the C3 rank. docs/decisions-design.md lists every deviation from C3 and when it applies.
 const (
-	rankExponent = 3 // b of the rank
+	rankExponent = 3 // exponent b of the rank
 )
 
-// rank is C3's: R - S + (1 + os n + q)^b S. The S of a server that warms up is stretched by the fraction of
-// its capacity that it has, so that it ranks by what it can do now.
+// rank returns the C3 rank of a server: R - S + (1 + os n + q)^b S. The last S is divided by the fraction of
+// its capacity that a server has while it warms up, so that it ranks by its current capacity.
 func (b *Balancer) rank(s *server) float64 {
 	mean := b.fleet.AveragesOf(&s.Server, b.now)
 	capacity := b.fleet.Capacity(&s.Server, b.now)
@@ -21,9 +21,9 @@
 	return mean.Latency - mean.ServiceTime + math.Pow(queue, rankExponent)*mean.ServiceTime/capacity
 }
 
-// pullBack moves the losers' averages half way to the winner's. Only candidates: a server that answers
-// nothing must not come to look like one that does.
-func (b *Balancer) pullBack(winner *server, candidates []*server) {
+// adjustLosers moves the averages of the other candidates half way toward the winner's. Servers that are not
+// candidates stay unchanged: an unresponsive server must not come to look like a responsive one.
+func (b *Balancer) adjustLosers(winner *server, candidates []*server) {
 	mean := b.fleet.AveragesOf(&winner.Server, b.now)
 	for _, server := range candidates {
 		if server != winner && server.Measured {
@@ -34,7 +34,7 @@
 	}
 }
 
-// recordLoad takes a load report into a server's averages.
+// recordLoad updates a server's averages by a load report.
 func (b *Balancer) recordLoad(server *server, report *LoadReport) {
 	if report == nil {
 		return
@@ -43,8 +43,8 @@
 	if report.Queue < 0 {
 		queue = max(0, report.InFlight)
 	}
-	// Keep off while more than an objective's worth of parts waits. Guards a shard whose replicas are all
-	// crowded, which the fleet's state does not show. May hurt where servers have many cores.
+	// Avoid the server while its queue takes most of an objective. Guards a shard whose replicas are all
+	// overloaded, which fleet-wide estimates do not show. May avoid servers with many cores for too long.
 	excess := b.fleet.DrainTime(queue) - micros(b.minObjective)*admissionFraction
 	server.avoidUntil = max(server.avoidUntil, b.now+duration(excess))
 	server.RecordLoad(b.now, queue, report.InFlight)
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// One own part must not drown a reported queue: at n = 80 the rank would count it as 80 parts.
+// One part of this balancer must not outweigh a reported queue: at n = 80, the rank would count it as 80
+// parts.
 func TestRank_OwnRequestDoesNotOutweighALoadReport(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -95,11 +96,11 @@
 	ownRequest.InFlight = []time.Duration{0}
 	longQueue.Queue = 20
 	if h.b.rank(ownRequest) >= h.b.rank(longQueue) {
-		t.Error("one own part outranks a queue of twenty")
+		t.Error("one own part weighs more than a queue of twenty")
 	}
 }
 
-// The last answers of a wide query are its slowest: the mean must not follow them.
+// The last answers of a wide query are its slowest. The mean must not follow them.
 func TestLatency_WideQueryDoesNotOutweighOthers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(80, 100*ms)
@@ -117,7 +118,7 @@
 	}
 }
 
-// A reported queue goes toward the mean of all servers with its age.
+// With its age, a reported queue approaches the mean of all servers.
 func TestRank_OldLoadReportCountsLess(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i, name := range []Replica{"a", "b", "c"} {
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file decides nothing: it takes over settings that change while a balancer runs.
+// This file decides nothing: it applies settings that change while a Balancer runs.
 
 import (
 	"rooktrestle/internal/control/retrydetect"
@@ -8,9 +8,10 @@
 	"rooktrestle/internal/control/tokenbucket"
 )
 
-// Reconfigure takes the classes, tenants and limits of attempts of other settings; the rest stays. Queries that are open
-// keep the class and the number of attempts that they came under. An index that stood for another class before is fresh:
-// what was learned of that class is forgotten. After an error nothing has changed.
+// Reconfigure replaces the classes, the tenants, the maximum number of attempts and the longest Retry-After
+// by those of next; all other settings stay. Open queries keep the class and the number of attempts under
+// which they arrived. fresh contains the class indices that now refer to another class: the state learned of
+// the previous class is discarded. If Reconfigure returns an error, nothing has changed.
 func (b *Balancer) Reconfigure(next Settings, fresh []int) error {
 	merged := b.settings
 	merged.Classes = next.Classes
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// resizeClasses makes room for what is learned of so many classes.
+// resizeClasses grows the state that is stored by class to the given number of classes.
 func (b *Balancer) resizeClasses(classes int) {
 	for len(b.firstAttempts) < classes {
 		b.firstAttempts = append(b.firstAttempts, retrydetect.Detector{})
@@ -44,7 +45,7 @@
 	}
 }
 
-// forgetClass forgets what was learned of the class that an index stood for.
+// forgetClass discards the state learned of the class to which an index referred.
 func (b *Balancer) forgetClass(class int) {
 	b.firstAttempts[class] = retrydetect.Detector{}
 	b.suspectUntil[class] = 0
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -6,22 +6,23 @@
 	"slices"
 )
 
-// How a replica is chosen.
+// Parameters of the selection of a replica.
 const (
-	zoneTolerance       = 1.5 // ranks within this factor of the best go to the own zone
-	rankJitter          = 0.1 // random share in a rank: equal servers take turns, and balancers do not herd
-	unhealthyRankFactor = 27  // times worse an unhealthy server ranks, as with two parts more in flight
-	maxUsableLoss       = 0.4 // loss rate of a class below which a server helps while the healthy are busy
-	unsafeHalfOpenDelay = 20  // overdue times that a half-open request waits longer if it must not run twice
+	zoneTolerance       = 1.5 // a rank within this factor of the best wins if its server is in the own zone
+	rankJitter          = 0.1 // random fraction of a rank: spreads parts over equal servers, avoids herding
+	unhealthyRankFactor = 27  // factor on the rank of an unhealthy server, as with two more parts in flight
+	maxUsableLoss       = 0.4 // loss rate below which an unhealthy server is used while healthy ones are busy
+	nonIdempotentDelay  = 20  // extra delay of a non-idempotent half-open request, in overdue times
 )
 
-// choose picks the replica for a part's next attempt: the lowest C3 rank among the candidates, or nil.
+// choose returns the replica for a part's next attempt, the candidate with the lowest C3 rank, or nil if none
+// is available.
 func (b *Balancer) choose(part *part) *server {
 	candidates, halfOpen := b.withoutEjected(part)
 	if halfOpen != nil {
 		return halfOpen
 	}
-	// A nearly excluded server must not get a part that only waits for another replica to be free.
+	// A nearly excluded server must not receive a part that only waits for another replica to be free.
 	candidates = prefer(candidates, func(s *server) bool {
 		return !s.nearlyExcluded() || !b.skipsByFraction(part, s)
 	})
@@ -34,22 +35,21 @@
 			return server
 		}
 	}
-	// A server that loses some answers takes what would wait long at the healthy ones.
+	// A server that loses some answers receives parts that would wait long at the healthy ones.
 	pool := append(slices.Clone(healthy), usable...)
 	if len(healthy) == 0 {
 		pool = part.leastSuspect(available)
 	}
-	unhealthyFrom := cmp.Or(len(healthy), len(pool)) // where none is healthy, all compete as equals
+	unhealthyFrom := cmp.Or(len(healthy), len(pool)) // if none is healthy, all are ranked alike
 	winner := b.lowestRank(part, pool, unhealthyFrom)
 	if part.attempts == 0 {
-		b.pullBack(winner, pool[:unhealthyFrom])
+		b.adjustLosers(winner, pool[:unhealthyFrom])
 	}
 	return winner
 }
 
-// withoutEjected returns the candidates that are not ejected for a part's class, or all if there are none: an
-// ejected server gets only parts whose replicas are all ejected. If a half-open request to one is granted, it
-// returns that.
+// withoutEjected returns the candidates that are not ejected for a part's class, or all if every one is
+// ejected. If an ejected server may receive the part as a half-open request, it returns that server instead.
 func (b *Balancer) withoutEjected(part *part) (candidates []*server, halfOpen *server) {
 	candidates = b.candidates(part)
 	if !slices.ContainsFunc(candidates, part.ejectedAt) {
@@ -69,8 +69,8 @@
 	return remaining, nil
 }
 
-// available returns the candidates that may be sent a part now: all of them, the healthy, and those that are
-// not healthy but usable.
+// available returns the candidates to which a part may be sent now: all of them, the healthy ones, and those
+// that are not healthy but usable.
 func (b *Balancer) available(part *part, candidates []*server) (all, healthy, usable []*server) {
 	for _, server := range candidates {
 		busy := slices.ContainsFunc(part.inFlight, func(a *attempt) bool { return a.server == server })
@@ -89,15 +89,15 @@
 }
 
 // halfOpen returns an unhealthy server to which this part is sent as a half-open request, or nil. Such a
-// server recovers by one request at a time, and a query carries one: with many balancers a wide query finds
-// one due at every unhealthy server. What must not run twice is the last to go there.
+// server receives one such request at a time, and a query sends one: with many balancers, a wide query would
+// find one due at every unhealthy server. Non-idempotent parts are used last.
 func (b *Balancer) halfOpen(part *part, available []*server) *server {
 	if !part.mayBeHalfOpen() {
 		return nil
 	}
 	delay := duration(0)
 	if part.query.class.Idempotency == NonIdempotent {
-		delay = duration(unsafeHalfOpenDelay * b.fleet.Overdue())
+		delay = duration(nonIdempotentDelay * b.fleet.Overdue())
 	}
 	for _, server := range available {
 		fault := server.Fault(part.query.Class)
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// leastSuspect narrows down servers none of which is healthy: to a usable path, then to those that did not
-// fail this part, then none of its class, then to the quick, then to the least penalty.
+// leastSuspect narrows down servers none of which is healthy, step by step: to those with a usable path,
+// without a failure of this part, without a penalty of its class, not slow, and with the least penalty.
 func (p *part) leastSuspect(servers []*server) []*server {
 	servers = prefer(servers, func(s *server) bool { return s.Path.Usable() })
 	servers = prefer(servers, func(s *server) bool { return !slices.Contains(p.failedOn, s) })
@@ -126,8 +126,8 @@
 	return prefer(servers, func(s *server) bool { return s.PenaltyFor(p.query.Class) == least })
 }
 
-// lowestRank returns the server with the lowest rank, where near ties go to the own zone. Those from index
-// unhealthyFrom on rank worse, as do those that give this part to others.
+// lowestRank returns the server with the lowest rank, where near ties go to the own zone. Servers from index
+// unhealthyFrom on rank worse, as do those that skip this part because of their traffic fraction.
 func (b *Balancer) lowestRank(part *part, pool []*server, unhealthyFrom int) *server {
 	ranks := make([]float64, len(pool))
 	best := math.Inf(1)
@@ -155,8 +155,8 @@
 	return winner
 }
 
-// skipsByFraction reports, at random, whether a server with a traffic fraction gives this part to others:
-// between two servers of which one has fraction w, it gets w parts for each of the other's.
+// skipsByFraction reports, at random, whether a server with a traffic fraction leaves this part to others. Of
+// two servers, one with fraction w receives w parts for each part of the other.
 func (b *Balancer) skipsByFraction(p *part, s *server) bool {
 	fraction := cmp.Or(s.TrafficFraction, 1)
 	for _, c := range p.Candidates {
@@ -167,12 +167,12 @@
 	return fraction < 1 && b.rng.Float64() > 2*fraction/(1+fraction)
 }
 
-// sampleWarming picks one of a part's replicas at random, by capacity, to which it may go though that is
-// warming up; or none. Where balancers are many, what each owes a server that warms up lets it go seldom, and
-// a query of sixty parts whose shards have only such replicas never. Picked at random, all balancers together
-// send each replica its part of what its shards are asked. That is within rule 4 as long as demand is near
-// what warm servers were seen to answer.
-func (b *Balancer) sampleWarming(part *part) *server {
+// sampleWarmupTarget picks one of a part's replicas at random, by capacity, to which it may be sent even if
+// that replica is warming up; or nil. With many balancers, the credit of each for a server that warms up
+// rarely allows a part, and never a query of sixty parts whose shards have only such replicas. By random
+// picks, all balancers together send each replica its share of the demand for its shards, which is within
+// rule 4 as long as demand is near the rate that warm servers have answered.
+func (b *Balancer) sampleWarmupTarget(part *part) *server {
 	if b.fleet.Extrapolates() {
 		return nil
 	}
@@ -193,13 +193,13 @@
 	return nil
 }
 
-// slowStartAllows reports whether a server that may be warming up may be sent a part.
+// slowStartAllows reports whether slow start allows a part to be sent to a server.
 func (b *Balancer) slowStartAllows(p *part, s *server) bool {
 	return p.warmupTarget == s || b.fleet.SlowStartAllows(&s.Server, b.now)
 }
 
-// usableFor reports whether a server that is not healthy does most of what a part of this class asks of it.
-// What must not run twice does not go where some is lost.
+// usableFor reports whether a server that is not healthy answers most parts of this part's class.
+// Non-idempotent parts are not sent to a server that loses some.
 func (s *server) usableFor(p *part) bool {
 	trusted := !s.Unresponsive && !s.Slow && !s.ProbeFailed && s.Path.Usable() && s.LastSuccess > 0
 	return trusted && p.query.class.Idempotency != NonIdempotent && !slices.Contains(p.failedOn, s) &&
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -19,7 +19,7 @@
 	if send := h.sendOnePart(0); send.Replica != "c" {
 		t.Errorf("sent to %s, want c with the shortest queue", send.Replica)
 	}
-	// R 100, S 100: losers move half way to the winner's q of 1, the winner stays.
+	// R 100, S 100: the losers' q move half way to the winner's q of 1, which stays.
 	if a, b := h.b.servers["a"].Queue, h.b.servers["b"].Queue; a != 2 || b != 1.5 {
 		t.Errorf("losers' q %v and %v, want 2 and 1.5", a, b)
 	}
@@ -33,7 +33,7 @@
 		used[send.Replica] = true
 	}
 	if len(used) != 3 {
-		t.Errorf("three parts went to %d servers: os must rise at once", len(used))
+		t.Errorf("three parts went to %d servers: each must raise os immediately", len(used))
 	}
 }
 
@@ -41,13 +41,13 @@
 	h := newHarness(t, testSettings())
 	h.serve(30, 100*ms)
 	send := h.sendOnePart(0)
-	bad := send.Replica
+	faulty := send.Replica
 	send = onlyAction[Send](h, h.end(send, 0, Failed, 2*ms))
 	onlyAction[Answer](h, h.end(send, 1, OK, 100*ms))
 	halfOpenRequests := 0
 	for i := range 40 {
 		send := h.sendOnePart(0)
-		if send.Replica == bad {
+		if send.Replica == faulty {
 			halfOpenRequests++
 			if i == 0 {
 				t.Error("the next part went to the server that just failed")
@@ -55,8 +55,8 @@
 		}
 		onlyAction[Answer](h, h.end(send, 0, OK, 100*ms))
 	}
-	if halfOpenRequests == 0 || h.b.servers[bad].Penalty > 0 {
-		t.Errorf("%d half-open requests, penalty %v: it must come back", halfOpenRequests, h.b.servers[bad].Penalty)
+	if halfOpenRequests == 0 || h.b.servers[faulty].Penalty > 0 {
+		t.Errorf("%d half-open requests, penalty %v: no recovery", halfOpenRequests, h.b.servers[faulty].Penalty)
 	}
 }
 
@@ -68,7 +68,7 @@
 	h.turn(TimerFired{})
 	for range 6 {
 		if send := h.sendOnePart(0); send.Replica == unresponsive {
-			t.Errorf("a part went to %s, which answers nothing", unresponsive)
+			t.Errorf("a part went to %s, which is unresponsive", unresponsive)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	for range 20 {
 		send := h.sendOnePart(0)
 		if send.Replica != "b" {
-			t.Fatal("a tie left the own zone")
+			t.Fatal("a tie went to another zone")
 		}
 		onlyAction[Answer](h, h.end(send, 0, OK, 100*ms))
 	}
@@ -126,7 +126,7 @@
 	}
 	slow.NextHalfOpen = 0
 	if send := h.sendOnePart(0); send.Replica != "a" {
-		t.Error("a slow server is never tried again")
+		t.Error("no half-open request went to the slow server")
 	}
 }
 
@@ -153,15 +153,15 @@
 	settings.Classes[0].Idempotency = NonIdempotent
 	h := newHarness(t, settings)
 	h.serve(30, 100*ms)
-	bad := h.b.servers["a"]
-	bad.Penalty = 1
+	unhealthy := h.b.servers["a"]
+	unhealthy.Penalty = 1
 	h.serve(400, 100*ms)
-	if bad.Penalty > 0 {
-		t.Error("with unsafe classes only, an unhealthy server never came back")
+	if unhealthy.Penalty > 0 {
+		t.Error("with non-idempotent classes only, an unhealthy server did not recover")
 	}
 }
 
-// A server that refuses connections gets nothing for a time that grows with each failure.
+// A server that refuses connections is avoided for a time that grows with each failure.
 func TestChoose_DownServerIsAvoided(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(30, 100*ms)
@@ -175,13 +175,13 @@
 	for attempt := range 2 {
 		send := onlyAction[Send](h, h.turn(events...))
 		actions := h.end(send, attempt, ConnectFailed, 5*ms)
-		h.wantNone(actions, "send to a server just found down", countOf[Send](actions))
+		h.wantNone(actions, "send to a server that just refused a connection", countOf[Send](actions))
 		delays = append(delays, down.avoidUntil-h.now)
 		down.avoidUntil = 0
 		events = nil
 	}
 	if delays[0] <= 0 || delays[1] <= delays[0] {
-		t.Errorf("kept off for %v, want a time that grows", delays)
+		t.Errorf("avoided for %v, want a time that grows", delays)
 	}
 }
 
@@ -202,8 +202,8 @@
 	}
 }
 
-// With many balancers a half-open request is due at every unhealthy server when a wide query comes: only one of
-// its parts is sent as one.
+// With many balancers, a half-open request is due at every unhealthy server when a wide query arrives: only
+// one of its parts is sent as one.
 func TestChoose_QueryCarriesOneHalfOpenRequest(t *testing.T) {
 	h := newHarness(t, testSettings(), twoZones()...)
 	h.serve(60, 100*ms)
@@ -225,13 +225,13 @@
 	}
 }
 
-// A server loses one class of queries and serves the others: an overdue part of that class is canceled though
-// others are answered, and the class goes elsewhere.
+// A server loses one class of queries and answers the others. An overdue part of that class is canceled
+// although the server answers others, and the class is sent elsewhere.
 func TestChoose_ServerThatLosesOneClass(t *testing.T) {
 	h := newHarness(t, twoClasses(Idempotent))
 	h.serve(60, 100*ms)
 	h.b.hedgeTokens = 4
-	bad := h.b.servers["a"]
+	faulty := h.b.servers["a"]
 	var lost Send
 	for lost.Replica != "a" {
 		if send := h.sendOnePart(0); send.Replica == "a" {
@@ -245,30 +245,30 @@
 		h.end(send, 0, OK, 100*ms)
 		return send.Replica == "a"
 	}
-	var calledOff []Cancel
-	for i := 0; len(calledOff) == 0 && i < 20; i++ {
-		bad.LastSuccess = h.now // it answers the other class all the time
+	var canceled []Cancel
+	for i := 0; len(canceled) == 0 && i < 20; i++ {
+		faulty.LastSuccess = h.now // it keeps answering the other class
 		actions := h.begin(newQuery{class: 1, parts: 1})
 		actions = append(actions, h.end(actionsOf[Send](actions)[0], 0, OK, 100*ms)...)
-		calledOff = actionsOf[Cancel](actions)
+		canceled = actionsOf[Cancel](actions)
 	}
-	if len(calledOff) != 1 || calledOff[0].Part != lost.Part {
-		t.Fatalf("canceled %v", calledOff)
+	if len(canceled) != 1 || canceled[0].Part != lost.Part {
+		t.Fatalf("canceled %v", canceled)
 	}
 	h.turn(AttemptEnded{Part: lost.Part, Replica: "a", Result: Canceled})
-	if bad.HealthyFor(0) || !bad.HealthyFor(1) {
-		t.Errorf("penalty %v, of each class %+v", bad.Penalty, bad.PerClass)
+	if faulty.HealthyFor(0) || !faulty.HealthyFor(1) {
+		t.Errorf("penalty %v, of each class %+v", faulty.Penalty, faulty.PerClass)
 	}
 	found := false
 	for range 20 {
 		found = other() || found
 	}
 	if !found {
-		t.Error("the class that it serves left it, too")
+		t.Error("the class that the server answers is no longer sent there")
 	}
 }
 
-// A part that is not idempotent is not used as a half-open request while parts of other classes can be.
+// A non-idempotent part is not sent as a half-open request while parts of other classes can be.
 func TestChoose_NonIdempotentPartsAreTheLastHalfOpenRequests(t *testing.T) {
 	h := newHarness(t, twoClasses(NonIdempotent))
 	h.serve(30, 100*ms)
@@ -281,7 +281,7 @@
 	}
 }
 
-// Where no replica is healthy, a slow one is preferred to one that loses the class.
+// If no replica is healthy, a slow one is preferred to one that loses parts of the class.
 func TestChoose_ReplicaThatLosesTheClassIsTheLastResort(t *testing.T) {
 	h := newHarness(t, twoClasses(Idempotent))
 	h.serve(40, 100*ms)
@@ -301,21 +301,21 @@
 	}
 }
 
-// A server that loses some answers is used while the healthy ones are busy, but not for parts that are not
-// idempotent, nor once it loses most answers.
+// A server that loses some answers is used while the healthy ones are busy, but not for non-idempotent parts,
+// and not if it loses most answers.
 func TestChoose_ServerThatLosesSomeAnswersHelpsTheBusy(t *testing.T) {
 	for _, test := range []struct {
-		loss   float64
-		busy   int // parts in flight at the healthy servers
-		effect Idempotency
-		want   bool
+		loss        float64
+		busy        int // parts in flight at the healthy servers
+		idempotency Idempotency
+		want        bool
 	}{
-		{loss: 0.25, busy: 8, effect: Idempotent, want: true},
-		{loss: 0.25, busy: 0, effect: Idempotent, want: false},
-		{loss: 0.8, busy: 8, effect: Idempotent, want: false},
-		{loss: 0.25, busy: 8, effect: NonIdempotent, want: false},
+		{loss: 0.25, busy: 8, idempotency: Idempotent, want: true},
+		{loss: 0.25, busy: 0, idempotency: Idempotent, want: false},
+		{loss: 0.8, busy: 8, idempotency: Idempotent, want: false},
+		{loss: 0.25, busy: 8, idempotency: NonIdempotent, want: false},
 	} {
-		h := newHarness(t, twoClasses(test.effect))
+		h := newHarness(t, twoClasses(test.idempotency))
 		h.serve(60, 100*ms)
 		for id, server := range h.b.servers {
 			if id == "a" {
@@ -332,20 +332,21 @@
 			t.Errorf("%+v: went to %s", test, send.Replica)
 		}
 	}
-	var of suspicion.Record
+	var record suspicion.Record
 	for i := range 200 {
-		of.RecordLoss(i%4 == 0)
+		record.RecordLoss(i%4 == 0)
 	}
-	if of.LossRate < 0.15 || of.LossRate > 0.35 {
-		t.Errorf("a quarter is lost, taken for %v", of.LossRate)
+	if record.LossRate < 0.15 || record.LossRate > 0.35 {
+		t.Errorf("loss rate %v after losing a quarter", record.LossRate)
 	}
 }
 
-// A part waits for a replica that is full for a moment, and does not spend its attempts at one that has next to no
-// traffic. Guards against searches that failed within 60 ms, while the two healthy replicas of a part served others.
+// A part waits for a replica that is full for a moment, and does not use up its attempts at excluded ones.
+// Guards against searches that failed within 60 ms although a part had two healthy replicas, which were
+// serving others.
 func TestChoose_PartWaitsForAFullReplicaRatherThanAnExcludedOne(t *testing.T) {
 	h := newFleetHarness(t, "a", "b", "c")
-	for range 40 { // of 200 parts about one may try a server that is excluded
+	for range 40 { // of 200 parts, about one may be sent to an excluded server
 		if n := countByReplica(actionsOf[Send](h.begin(newQuery{parts: 5}))); n["d"] < 4 {
 			t.Fatalf("parts went to %v", n)
 		}
@@ -357,15 +358,15 @@
 	}
 }
 
-// A server of which the fleet knows that it loses some parts gets half-open requests in proportion to its traffic
-// fraction, not by the clock of each balancer that holds failures against it.
+// A server with a traffic fraction, because it is known to lose some parts, receives half-open requests in
+// proportion to that fraction instead of one whenever a balancer that recorded failures has one due.
 func TestChoose_HalfOpenRequestsGoByTrafficFraction(t *testing.T) {
 	halfOpenRequests := map[float64]int{}
-	for _, share := range []float64{0, 0.3} {
+	for _, fraction := range []float64{0, 0.3} {
 		h := newFleetHarness(t)
 		h.turn(EndpointList{
 			Kind:      ListDelta,
-			Endpoints: []Endpoint{{Replica: "a", HealthLimits: HealthLimits{TrafficFraction: share}}},
+			Endpoints: []Endpoint{{Replica: "a", HealthLimits: HealthLimits{TrafficFraction: fraction}}},
 		})
 		for range 60 {
 			server := h.b.servers["a"]
@@ -374,13 +375,13 @@
 			server.PerClass[0].NextHalfOpen = 0
 			send := h.sendOnePart(0)
 			if send.Replica == "a" {
-				halfOpenRequests[share]++
+				halfOpenRequests[fraction]++
 			}
 			h.turn(AttemptEnded{Part: send.Part, Replica: send.Replica, Result: OK, Elapsed: 10 * ms})
 			h.now += 100 * ms
 		}
 	}
-	// Of two servers, one with traffic fraction w gets 2w/(1+w) of what it would get: 0.46.
+	// Of two servers, one with traffic fraction w receives 2w/(1+w) of its usual share: 0.46.
 	if halfOpenRequests[0] != 60 || halfOpenRequests[0.3] < 18 || halfOpenRequests[0.3] > 38 {
 		t.Errorf("%v half-open requests of 60", halfOpenRequests)
 	}
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file decides nothing: it holds the settings and their check.
+// This file decides nothing: it defines the settings and validates them.
 
 import (
 	"errors"
@@ -10,90 +10,90 @@
 	"rooktrestle/internal/control/fleet"
 )
 
-// Idempotency says what a second run of a part does.
+// Idempotency states whether a part may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be repeated freely
-	KeyedIdempotent                    // repeats are dropped for Class.DedupWindow, by an idempotency key
+	KeyedIdempotent                    // servers drop repeats within Class.DedupWindow, by an idempotency key
 	NonIdempotent                      // must not run twice
 )
 
 // Class describes one class of queries.
 type Class struct {
-	Objective        time.Duration // answers within it earn the full weight; positive
+	Objective        time.Duration // latency within which an answer earns its full weight; positive
 	ObjectiveStretch float64       // the objective grows by this multiple of the query's own work
-	Deadline         time.Duration // how long a client waits, over all its attempts; at least Objective
-	Weight           float64       // what a complete answer in time is worth
-	OverdueFraction  float64       // fraction of the weight left after the objective
+	Deadline         time.Duration // how long a client waits over all its attempts; at least Objective
+	Weight           float64       // value of a complete answer within the objective
+	OverdueFraction  float64       // fraction of the weight that an answer after the objective earns
 	Idempotency      Idempotency
-	DedupWindow      time.Duration // KeyedIdempotent: how long repeats are dropped
-	MinFraction      float64       // least fraction of the parts for any answer, 0 to 1
-	CompleteFraction float64       // fraction of the parts that makes an answer complete, above 0, to 1
-	PartialFraction  float64       // a partial answer is worth this x its fraction of the parts / CompleteFraction
-	FollowUpParts    int           // parts of a second step; 0: one step only
+	DedupWindow      time.Duration // KeyedIdempotent: how long servers drop repeats
+	MinFraction      float64       // minimum fraction of the parts for any answer, 0 to 1
+	CompleteFraction float64       // fraction of the parts for a complete answer, over 0 and at most 1
+	PartialFraction  float64       // a partial answer earns this x its fraction of parts / CompleteFraction
+	FollowUpParts    int           // number of parts of a second step; 0: one step only
 }
 
 // Tenant is a customer with an agreed rate.
 type Tenant struct {
-	Quota float64 // queries a second over all balancers; 0: no limit
+	Quota float64 // queries per second over all balancers; 0: unlimited
 }
 
-// Settings are what a Balancer is given at its start. It keeps the slices, so they must not change
-// afterwards.
+// Settings configure a Balancer. New retains the slices, so the caller must not modify them afterwards.
 type Settings struct {
-	Seed      uint64        // of its random numbers
-	Instances int           // balancers of this kind, this one included; at least 1
+	Seed      uint64        // seed of the random number generator
+	Instances int           // number of balancers, this one included; at least 1
 	Tick      time.Duration // shortest time between two turns; positive
 	Zone      int           // this balancer's zone
 
-	Classes         []Class // at least one; queries name them by index
+	Classes         []Class // at least one; queries refer to them by index
 	Tenants         []Tenant
-	OverQuotaFactor float64 // by which the weight of a query beyond its tenant's quota is multiplied
-	WeightByWork    bool    // weight is counted in proportion to work
+	OverQuotaFactor float64 // factor on the weight of a query beyond its tenant's quota
+	WeightByWork    bool    // the weight of a query counts in proportion to its work
 
-	// Shard s is held by the replicas of cells (s+j) mod Cells, 0 <= j < Reach. Each is at least 1.
+	// Shard s is stored by the replicas of cells (s+j) mod Cells, 0 <= j < Reach. Each must be at least 1.
 	Cells  int
 	Reach  int
 	Shards int
 
-	CallWork     time.Duration // work of a call beside that of its parts
-	MaxCallParts int           // most parts that share one call
-	WarmKeys     bool          // a replica does a key it met lately with less work
+	CallWork     time.Duration // work of a call in addition to that of its parts
+	MaxCallParts int           // maximum number of parts in one call
+	WarmKeys     bool          // a key that a replica served recently costs it less work
 
-	MaxAttempts        int // of one part; at least 1
+	MaxAttempts        int // per part; at least 1
 	CanHedge           bool
 	CanCancel          bool
 	CanProbe           bool
 	ClientsMarkRetries bool          // clients flag their retries
-	MaxRetryAfter      time.Duration // the longest Retry-After that clients follow; 0: they get none
-	LoadReportsOnProbe bool          // load reports come with probes only
-	ListOnRequest      bool          // the endpoint list must be asked for
+	MaxRetryAfter      time.Duration // longest Retry-After that clients honor; 0: none is sent
+	LoadReportsOnProbe bool          // load reports arrive with probes only
+	ListOnRequest      bool          // the endpoint list must be requested
 	PeerMessages       bool          // gossip messages between balancers are allowed
-	ProbeTimeout       time.Duration // the longest a probe takes to be answered or given up
+	ProbeTimeout       time.Duration // longest time until a probe is answered or times out
 
 	Rules Rules
 }
 
-// Rules are the figures that the platform states for its rules.
+// Rules are the values that the platform states for its rules.
 type Rules struct {
-	MaxListAge        time.Duration // ListOnRequest: the age from which a list counts as stale
-	WarmupPeriod      time.Duration // a started replica is warm after it
-	WarmupMinCapacity float64       // least fraction of its capacity at the start
-	OverloadMultiple  float64       // a replica that warms up falls over if it gets more than this multiple of its
-	OverloadPeriod    time.Duration // capacity for this long
-	RetryBudgetWindow time.Duration // retries are counted over it; 0: no budget
+	MaxListAge        time.Duration // ListOnRequest: age from which an endpoint list is stale
+	WarmupPeriod      time.Duration // time from a replica's start until it is warm
+	WarmupMinCapacity float64       // minimum fraction of its capacity that a replica has at its start
+	OverloadMultiple  float64       // a replica that warms up fails if it receives more than this multiple
+	OverloadPeriod    time.Duration // of its capacity for this long
+	RetryBudgetWindow time.Duration // window in which retries are counted; 0: no retry budget
 	RetryBudgetBase   float64       // retries allowed within any window
-	RetryBudgetRatio  float64       // further retries allowed in it for each query and part
+	RetryBudgetRatio  float64       // further retries allowed within it per query and per part
 }
 
-// GossipEnabled reports whether balancers exchange gossip messages: where they are few, each sees enough itself.
+// GossipEnabled reports whether balancers exchange gossip messages. With few balancers, each observes enough
+// by itself.
 func (set *Settings) GossipEnabled() bool {
 	return set.PeerMessages && set.Instances > fleet.MaxExtrapolated
 }
 
-// minObjective is the shortest latency objective of all classes. There must be one.
+// minObjective returns the shortest latency objective of all classes, of which there must be at least one.
 func (set *Settings) minObjective() time.Duration {
 	shortest := set.Classes[0].Objective
 	for _, class := range set.Classes {
@@ -102,7 +102,7 @@
 	return shortest
 }
 
-// tenantRates are the tenants' rates at this balancer, in queries a second; 0: no limit.
+// tenantRates returns the tenants' rates at this balancer, in queries per second; 0: unlimited.
 func (set *Settings) tenantRates() []float64 {
 	rates := make([]float64, len(set.Tenants))
 	for i, tenant := range set.Tenants {
@@ -111,7 +111,7 @@
 	return rates
 }
 
-// check says what is wrong with settings.
+// check returns an error that states which setting is invalid, or nil.
 func (set *Settings) check() error {
 	switch {
 	case len(set.Classes) == 0:
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -15,13 +15,13 @@
 		sends += countOf[Send](h.begin(newQuery{parts: 1}))
 		h.now += 100 * ms
 	}
-	// 2 x 0.2 x 2 s / 250 ms / 2 balancers is 1.6 parts, and 2.9 when the window ends.
+	// 2 x 0.2 x 2 s / 250 ms / 2 balancers is 1.6 parts at the start of the window, and 2.9 at its end.
 	if sends < 1 || sends > 3 {
-		t.Errorf("%d parts sent to a server that warms up within its window, want 1 to 3", sends)
+		t.Errorf("%d parts sent within the window of a server that is warming up, want 1 to 3", sends)
 	}
 	h.now += 11 * time.Second
 	if countOf[Send](h.begin(newQuery{parts: 1})) != 1 {
-		t.Error("nothing sent to a server that is warm by now")
+		t.Error("nothing sent to a warm server")
 	}
 }
 
@@ -30,17 +30,17 @@
 	h.serve(9, 100*ms)
 	h.turn(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{Replica: "a", Cell: 0, Started: h.now}}})
 	if server := h.b.servers["a"]; server.Measured || h.b.fleet.Capacity(&server.Server, h.now) != 0.2 {
-		t.Errorf("heard %v, share %v after a restart", server.Measured, h.b.fleet.Capacity(&server.Server, h.now))
+		t.Errorf("measured %v, capacity %v after a restart", server.Measured, h.b.fleet.Capacity(&server.Server, h.now))
 	}
 }
 
-// warmingFleet is many balancers with one server, which has just started.
+// warmingFleet is a set of balancers with one server that has just started.
 type warmingFleet struct {
 	balancers []*Balancer
 	nextID    ID
 }
 
-const warmingWork = 100 * ms // of each part at the server of a warmingFleet
+const warmingWork = 100 * ms // of each part, at the server of a warmingFleet
 
 func newWarmingFleet(t *testing.T, settings Settings, start time.Duration) *warmingFleet {
 	t.Helper()
@@ -60,7 +60,7 @@
 	return fleet
 }
 
-// play plays a turn of each balancer, to which a new query comes, and returns how many parts they send together.
+// play runs a turn of each balancer, with a new query each, and returns how many parts they send together.
 func (f *warmingFleet) play(now time.Duration) (sends int) {
 	for _, b := range f.balancers {
 		events := endedAttempts(b, now)
@@ -73,7 +73,7 @@
 	return sends
 }
 
-// endedAttempts returns the ends of a balancer's attempts that are answered by now.
+// endedAttempts returns the ends of a balancer's attempts that have been answered by now.
 func endedAttempts(b *Balancer, now time.Duration) (events []Event) {
 	for _, a := range attemptsInOrder(b) {
 		if now-a.sent < warmingWork {
@@ -90,8 +90,8 @@
 	return events
 }
 
-// Rule 4: however many balancers there are, together they keep to the stated multiple of a warming server's
-// capacity in every window, and do not starve it.
+// Rule 4: any number of balancers together stay within the stated multiple of a warming server's capacity in
+// every window, and do not starve the server.
 func TestSlowStart_ManyBalancersDoNotOverloadAServer(t *testing.T) {
 	for _, test := range []struct {
 		balancers        int
@@ -121,23 +121,23 @@
 			}
 		}
 		if len(sent) == 0 {
-			t.Errorf("%+v: a server that warms up is sent nothing", test)
+			t.Errorf("%+v: nothing sent to a server that is warming up", test)
 		}
-		for i, at := range sent {
-			inWindow := countSince(sent[:i+1], at-test.overloadPeriod+1)
-			warm := float64(at-start) / float64(settings.Rules.WarmupPeriod)
+		for i, sentAt := range sent {
+			inWindow := countSince(sent[:i+1], sentAt-test.overloadPeriod+1)
+			warm := float64(sentAt-start) / float64(settings.Rules.WarmupPeriod)
 			capacity := test.minCapacity + (1-test.minCapacity)*warm
 			const cores = 2
 			limit := test.overloadMultiple * capacity * micros(test.overloadPeriod) / micros(warmingWork) * cores
 			if float64(inWindow) > limit {
-				t.Fatalf("%+v: %d parts in the window up to %v, at most %.1f", test, inWindow, at-start, limit)
+				t.Fatalf("%+v: %d parts in the window up to %v, at most %.1f", test, inWindow, sentAt-start, limit)
 			}
 		}
 	}
 }
 
-// One of many balancers sends a server that warms up its part of the own flow, whatever 1/n of the limit allows: else
-// the server would be starved, as most balancers send little.
+// One of many balancers sends a server that is warming up its share of the balancer's own traffic, even
+// beyond 1/n of the limit. Otherwise the server would be starved, as most balancers send little.
 func TestSlowStart_ServerGetsItsPartOfTheFlow(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -160,16 +160,17 @@
 		}
 		h.end(send, 0, OK, 50*ms)
 	}
-	// 20 parts a second, 10 at a warm server; 0.2 to 0.5 of 1.8 times that for 4 s are 25 parts. 1/n alone is one.
+	// Of 20 parts per second, a warm server receives 10. 0.2 to 0.5 of 1.8 times that for 4 s is 25; 1/n
+	// alone is 1.
 	if sends < 7 || sends > 30 {
-		t.Errorf("%d parts went to the server that warms up, want about 25", sends)
+		t.Errorf("%d parts went to the server that is warming up, want about 25", sends)
 	}
 }
 
-// Three hundred balancers with little traffic owe a server that warms up their part from its start on, though each
-// owes it one in many seconds, and together no more than that. Guards against all of
-// them beginning with nothing owed: then none would send any for so long, and the last warm replica of its shards would
-// get all parts.
+// 300 balancers with little traffic send a server its share from its start on, and together no more than
+// that, although each earns a credit of one part only in many seconds. Guards against an initial credit of
+// zero in all of them: none would send a part for that time, and the last warm replica of the server's shards
+// would receive all parts.
 func TestSlowStart_ServerIsNotStarvedByManyQuietBalancers(t *testing.T) {
 	const balancers = 300
 	sends := 0
@@ -190,7 +191,7 @@
 			const partsPerSecond = 0.5 // of each balancer
 			h.b.fleet.Demand.Answered = partsPerSecond * slowstart.DemandPeriods * h.b.minObjective.Seconds()
 			h.turn(TimerFired{})
-			if server := h.b.servers["a"]; server.SlowStart.Credit >= 1 { // a part is sent as soon as it is owed
+			if server := h.b.servers["a"]; server.SlowStart.Credit >= 1 { // a part is sent as soon as the credit allows
 				server.SlowStart.Credit--
 				sends++
 				if h.now >= start+time.Second {
@@ -199,22 +200,23 @@
 			}
 		}
 	}
-	// A warm one of eight gets 18.75 parts a second of 150; 1.8 times that by 0.2 to 0.36 of its capacity is 19 in 2 s.
+	// One of eight warm servers receives 18.75 of 150 parts per second; 1.8 times that by 0.2 to 0.36 is 19
+	// in 2 s.
 	if sends < 10 || sends > 30 || inSecondSecond == 0 || inSecondSecond == sends {
 		t.Errorf("%d parts in two seconds, %d in the second of them; want about 19, in both", sends, inSecondSecond)
 	}
 }
 
-// Where all replicas of a shard are warming up, a query that needs sixty such parts is begun: each part may go to
-// a replica picked at random, in proportion to its capacity. It is not begun where more parts are asked for than
-// servers were seen to answer.
+// If all replicas of a shard are warming up, a query that needs sixty such parts is admitted: each part may
+// be sent to a replica picked at random in proportion to its capacity. It is not admitted if the demand
+// exceeds what servers have answered.
 func TestSlowStart_ReplicasAreSampledAtRandom(t *testing.T) {
 	startAll := func(h *harness) {
 		var list []Endpoint
 		for i, id := range []Replica{"a", "b", "c", "d"} {
 			list = append(list, Endpoint{Replica: id, Cell: i, Started: h.now - time.Duration(4+2*(i%2))*time.Second})
 		}
-		h.turn(EndpointList{Kind: ListDelta, Endpoints: list}) // shares of 0.52 and 0.68
+		h.turn(EndpointList{Kind: ListDelta, Endpoints: list}) // capacities of 0.52 and 0.68
 		for _, server := range h.b.servers {
 			server.SlowStart.Credit = 0
 			server.SlowStart.FirstSendThreshold = 1
@@ -232,7 +234,7 @@
 		sends := actionsOf[Send](h.begin(newQuery{parts: 6}))
 		if i >= 40 {
 			if len(sends) > 0 {
-				t.Fatalf("%d parts sent to servers that warm up, ten times what they answer is asked", len(sends))
+				t.Fatalf("%d parts sent to servers that are warming up, at ten times the usual demand", len(sends))
 			}
 			continue
 		}
@@ -244,10 +246,10 @@
 			parts += k
 		}
 	}
-	// Of 240 parts 52 for each server at 0.52 and 68 for each at 0.68, with a deviation of 7.
+	// Of 240 parts, 52 go to each server at 0.52 and 68 to each at 0.68, with a standard deviation of 7.
 	for id, want := range map[Replica]int{"a": 52, "b": 68, "c": 52, "d": 68} {
 		if n[id] < want-24 || n[id] > want+24 {
-			t.Errorf("%s got %d of %d parts, want about %d", id, n[id], parts, want)
+			t.Errorf("%s received %d of %d parts, want about %d", id, n[id], parts, want)
 		}
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file decides nothing: it holds what a Balancer remembers, and how that is made.
+// This file decides nothing: it defines the state of a Balancer and its constructor.
 
 import (
 	"math"
@@ -17,43 +17,43 @@
 	"rooktrestle/internal/control/tokenbucket"
 )
 
-// A Balancer decides for one aggregator. Make it with New.
+// Balancer makes the decisions of one aggregator. Create it with New.
 type Balancer struct {
 	settings      Settings
-	sqrtInstances float64       // square root of the number of balancers
+	sqrtInstances float64       // square root of Settings.Instances
 	minObjective  time.Duration // shortest latency objective of all classes
 	rng           *rand.Rand
 	now           time.Duration
-	actions       []Action      // of this turn
-	timerAt       time.Duration // when the timer asked for last fires
-	pollAt        time.Duration // when to ask for the list, after a failed call; 0: not due
+	actions       []Action      // of the current turn
+	timerAt       time.Duration // when the last timer started fires
+	pollAt        time.Duration // when to request the list again after a failed call; 0: not scheduled
 
 	servers     map[Replica]*server
-	endpoints   []*server // the servers in the order in which they were first listed
-	cells       [][]*server
-	byGossipKey map[uint32]*server      // listed servers; nil where two share a key
-	paths       map[int]*suspicion.Path // to each zone
+	endpoints   []*server               // all servers, in the order in which they were first listed
+	cells       [][]*server             // listed servers by cell
+	byGossipKey map[uint32]*server      // listed servers by gossip key; nil if two share it
+	paths       map[int]*suspicion.Path // network paths by zone
 
-	queries  []*query // in the order of arrival
+	queries  []*query // in order of arrival
 	byID     map[ID]*query
 	byGroup  map[uint64]*query
 	parts    map[ID]*part
 	attempts map[attemptKey]*attempt
 
 	fleet         fleet.Fleet
-	firstAttempts []retrydetect.Detector // of each class
-	meanWeight    float64                // of a query offered
-	meanParts     float64                // of a query offered
+	firstAttempts []retrydetect.Detector // by class
+	meanWeight    float64                // moving mean over the queries offered
+	meanParts     float64                // moving mean over the queries offered
 	tenantRates   tokenbucket.Buckets
 	retryBudget   retrybudget.Budget
-	hedgeTokens   float64 // hedged requests that parts have earned
-	probeTokens   float64 // probes that parts have earned
+	hedgeTokens   float64 // hedged requests that parts have earned and that were not sent yet
+	probeTokens   float64 // probes that parts have earned and that were not sent yet
 	outbox        gossip.Outbox
-	suspectUntil  []time.Duration          // of each class: its queries may crash servers until then
-	crashingKeys  map[string]time.Duration // keys of queries under which servers crashed: not begun until then
+	suspectUntil  []time.Duration          // by class: end of the suspicion that its queries crash servers
+	crashingKeys  map[string]time.Duration // by key of crashing queries: until when they are rejected
 }
 
-// server is what this balancer knows of one replica.
+// server is the state of one replica as this balancer observes it.
 type server struct {
 	fleet.Server
 	HealthLimits
@@ -61,13 +61,13 @@
 	gossipKey    uint32
 	zone         int
 	cell         int
-	avoidUntil   time.Duration // it is full or down: nothing is sent to it before
+	avoidUntil   time.Duration // full or down: nothing is sent to it before then
 	probing      bool
-	probedAt     time.Duration // by this balancer or another
-	resetQueries []*query      // lost a connection to it; it is being probed whether it crashed
+	probedAt     time.Duration // last probe by this balancer or another
+	resetQueries []*query      // had connections to it reset, while a probe checks whether it crashed
 }
 
-// attempt is one request for a part.
+// attempt is one sending of a part to a server.
 type attempt struct {
 	part     *part
 	server   *server
@@ -81,39 +81,39 @@
 	number int
 }
 
-// part is a part of a query.
+// part is the state of a part of an open query.
 type part struct {
 	Part
 	query           *query
 	attempts        int
 	inFlight        []*attempt // oldest first
 	answered        bool
-	abandoned       bool // it will not be sent again, or not at all
-	mayHaveRun      bool
-	firstMayHaveRun time.Duration // sending of the first attempt that may have run
-	notBefore       time.Duration // earliest next attempt
-	warmupTarget    *server       // may be sent the part though it is warming up
-	failedOn        []*server
+	abandoned       bool          // will not be sent, or not again
+	mayHaveRun      bool          // an ended attempt may have run
+	firstMayHaveRun time.Duration // when the first ended attempt that may have run was sent
+	notBefore       time.Duration // earliest time of the next attempt
+	warmupTarget    *server       // may receive the part although it is warming up
+	failedOn        []*server     // servers at which attempts ended without an answer
 }
 
-// query is a query that is not over.
+// query is the state of an open query.
 type query struct {
 	Query
-	class             *Class        // as the query came
-	maxAttempts       int           // of a part, as the query came
+	class             *Class        // as of the query's arrival
+	maxAttempts       int           // per part, as of the query's arrival
 	deadline          time.Duration // clock time
-	objective         time.Duration // clock time until which an answer earns the full weight
-	parts             []*part       // of the present step
+	objective         time.Duration // clock time until which an answer earns its full weight
+	parts             []*part       // of the current step
 	step              int           // 0 or 1
 	firstStepComplete bool
 	admitted          bool
-	done              bool
+	completed         bool          // answered, rejected or failed, or its client disconnected
 	halfOpenUsed      bool          // one of its parts went out as a half-open request
-	crashes           int           // servers that crashed under it
+	crashes           int           // number of servers that crashed while they ran its parts
 	probedAt          time.Duration // when its replicas were probed; 0: not yet
 }
 
-// New returns a Balancer for the settings, or an error that names what is wrong with them.
+// New returns a Balancer with the settings, or an error that states which setting is invalid.
 func New(set Settings) (*Balancer, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -144,10 +144,10 @@
 	}, nil
 }
 
-// seedMask derives the second half of the random generator's seed; any fixed number does.
+// seedMask derives the second half of the random generator's seed. Its value is arbitrary.
 const seedMask = 0x9e3779b97f4a7c15
 
-// newFleet returns the estimates of the servers before anything was measured.
+// newFleet returns the initial estimates of the servers, without any measurement.
 func newFleet(set *Settings) fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Instances:    set.Instances,
--- a/balance/turn.go
+++ b/balance/turn.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// When the next turn comes, and how long before its deadline a query ends.
+// Timing of polls and timers, and of the last answer to a query.
 const (
-	listRetryInterval = 0.5  // of the age at which the list is stale: mean wait after a failed call
-	timerInterval     = 0.01 // of the shortest objective: time between two checks for overdue attempts
-	answerMarginTicks = 3    // ticks before its deadline at which a query is answered at the latest
+	listRetryInterval = 0.5  // mean wait after a failed list call, as a fraction of MaxListAge
+	timerInterval     = 0.01 // time between checks for overdue attempts, in shortest objectives
+	answerMarginTicks = 3    // latest time to answer a query, in ticks before its deadline
 )
 
-// Turn takes the events of one turn and returns the actions, in order. The clock never goes back.
+// Turn processes the events of one turn and returns the resulting actions, in order. now must not decrease.
 func (b *Balancer) Turn(now time.Duration, events []Event) []Action {
-	passed := now - b.now
+	elapsed := now - b.now
 	b.now = now
 	b.actions = nil
-	b.fleet.EarnSlowStart(now, passed)
+	b.fleet.EarnSlowStart(now, elapsed)
 	for _, event := range events {
 		b.handle(event)
 	}
 	b.fleet.Assess(now)
 	for _, query := range b.queries {
-		if !query.done {
+		if !query.completed {
 			b.advance(query)
 		}
 	}
-	b.queries = slices.DeleteFunc(b.queries, func(q *query) bool { return q.done })
+	b.queries = slices.DeleteFunc(b.queries, func(q *query) bool { return q.completed })
 	b.sendGossip()
 	b.scheduleTimer()
 	return b.actions
@@ -36,7 +36,7 @@
 func (b *Balancer) handle(event Event) {
 	switch e := event.(type) {
 	case Query:
-		b.startQuery(e)
+		b.receiveQuery(e)
 	case Part:
 		b.addPart(e)
 	case CandidatesChanged:
@@ -58,8 +58,8 @@
 	}
 }
 
-// scheduleTimer keeps one timer ahead while there is work, so that overdue attempts are seen without an
-// event.
+// scheduleTimer keeps one timer pending while queries are open or a poll is due, so that overdue attempts are
+// detected without any other event.
 func (b *Balancer) scheduleTimer() {
 	if b.pollAt > 0 && b.now >= b.pollAt {
 		b.pollAt = 0
@@ -68,7 +68,7 @@
 	if len(b.queries) == 0 && b.pollAt == 0 || b.timerAt > b.now {
 		return
 	}
-	// Never longer than the answer margin, or a query could outlive its deadline between two turns.
+	// Not longer than the answer margin, or the deadline of a query could expire between two turns.
 	interval := min(time.Duration(float64(b.minObjective)*timerInterval), b.answerMargin())
 	interval = max(b.settings.Tick, interval)
 	b.timerAt = b.now + interval
@@ -77,8 +77,8 @@
 
 func (b *Balancer) answerMargin() time.Duration { return answerMarginTicks * b.settings.Tick }
 
-// receiveList takes in the endpoint list, and polls for it again after a failed call: paced, and at random,
-// as all balancers poll one discovery service, which may be down or short of capacity.
+// receiveList applies an endpoint list. After a failed call it polls again after a random delay, because all
+// balancers poll one discovery service, which may be down or overloaded.
 func (b *Balancer) receiveList(list EndpointList) {
 	if list.Kind == ListFailed {
 		maxAge := micros(b.settings.Rules.MaxListAge)
--- a/balance/turn_test.go
+++ b/balance/turn_test.go
@@ -35,7 +35,7 @@
 	settings.Classes[0].OverdueFraction = 0.5
 	h := newHarness(t, settings)
 	if timer := onlyAction[StartTimer](h, h.begin(newQuery{parts: 1})); timer.After > 15*ms {
-		t.Errorf("next look after %v: a query could outlive its time", timer.After)
+		t.Errorf("timer after %v: the deadline of a query could expire before", timer.After)
 	}
 }
 
@@ -43,6 +43,6 @@
 	h := newHarness(t, testSettings())
 	h.serve(200, 100*ms)
 	if n := len(h.b.fleet.RecentAnswers); n > 21 {
-		t.Errorf("%d answers remembered after a calm stretch, 2 s hold 20", n)
+		t.Errorf("%d recent answers stored, want the 20 of 2 s", n)
 	}
 }
