--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -11,8 +11,8 @@
 
 func (m micros) duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// document is the settings object. The tags are the platform's words, the fields have the terms of the code. Keys that
-// are not listed are ignored.
+// document is the settings object. Its tags are the platform's names; its fields use the terms of the code. Unknown
+// keys are ignored.
 type document struct {
 	Classes []struct {
 		Name             string  `json:"name"`
@@ -31,7 +31,7 @@
 	Extra      struct {
 		CallWork          micros    `json:"call"`
 		Cells             int       `json:"cells"`
-		MinFractions      []float64 `json:"class_floor"` // by class, as are the other lists
+		MinFractions      []float64 `json:"class_floor"` // by class, like the other lists
 		FollowUpParts     []int     `json:"follow_up"`
 		Reach             int       `json:"in_a_row"`
 		PartialFractions  []float64 `json:"incomplete_worth"`
@@ -79,14 +79,14 @@
 	Zones []string `json:"zones"`
 }
 
-// The platform's words for values that the code tells apart.
+// The platform's names for values that the code distinguishes.
 const (
 	weightByWork      = "work"       // of document.WeightUnit
 	reportsOnProbe    = "pull"       // of document.LoadReports.Delivery
 	discoveryOnDemand = "on_request" // of document.DiscoveryMode
 )
 
-// idempotencies are the platform's words for what a repetition of a request does.
+// idempotencies are the kinds of idempotency by the platform's names.
 var idempotencies = map[string]balance.Idempotency{
 	"safe":   balance.Idempotent,
 	"keyed":  balance.KeyedIdempotent,
--- a/internal/settings/generations.go
+++ b/internal/settings/generations.go
@@ -7,27 +7,27 @@
 	"rooktrestle/balance"
 )
 
-// indexRestPeriod is how long the index of a class that was dropped stays unused: whoever has read the name before the
-// change has posted its query by then.
-const indexRestPeriod = time.Minute
+// indexReuseDelay is how long the index of a dropped class stays unused. A request that looked up the class before the
+// change has posted its query to the loop by then.
+const indexReuseDelay = time.Minute
 
-// Generations gives each class and each tenant of successive settings an index that keeps its meaning for as long as a query
-// of it may be open. A class whose definition changes is another class: queries that are open keep the old one. It is not
-// safe for concurrent use.
+// Generations assigns each class and each tenant of successive settings an index that keeps its meaning for as long as
+// one of its queries may be open. A class whose definition changes counts as a new class: open queries keep the
+// previous definition. It is not safe for concurrent use.
 type Generations struct {
 	classes []classSlot // by index
-	tenants []string    // names, by index; none is ever dropped
+	tenants []string    // names, by index; never removed
 	current Deployment
 }
 
-// classSlot is the class that an index stands for.
+// classSlot is the class to which an index refers.
 type classSlot struct {
 	name      string
 	class     balance.Class
-	droppedAt time.Time // zero: it is in the present settings
+	droppedAt time.Time // zero: the class is in the current settings
 }
 
-// NewGenerations returns the indices of the first settings: their own order.
+// NewGenerations returns Generations whose indices are the order of the classes and tenants in the first settings.
 func NewGenerations(first Deployment) *Generations {
 	g := &Generations{tenants: slices.Clone(first.Tenants), current: first}
 	for i, name := range first.Classes {
@@ -36,17 +36,17 @@
 	return g
 }
 
-// Change is what follows from new settings.
+// Change is the result of adopting new settings.
 type Change struct {
-	// Deployment has the classes and tenants of all indices, those that were dropped included.
+	// Deployment contains the classes and tenants of all indices, including dropped ones.
 	Deployment Deployment
-	Fresh      []int          // indices that stand for another class than before, or for none before
-	Classes    map[string]int // indices of the classes that the new settings name
-	Tenants    map[string]int // and of the tenants
+	Fresh      []int          // indices that now refer to another class, or were unused before
+	Classes    map[string]int // indices of the classes in the new settings
+	Tenants    map[string]int // indices of the tenants in the new settings
 }
 
-// Adopt takes the classes, tenants and limits on attempts of new settings. inUse says whether a query of a class, or an
-// attempt, is still open.
+// Adopt replaces the classes, the tenants and the limits on queries, attempts and Retry-After by those of new settings.
+// inUse reports whether a query of a class, or an attempt of one, is still open.
 func (g *Generations) Adopt(now time.Time, next Deployment, inUse func(class int) bool) Change {
 	change := Change{Classes: map[string]int{}, Tenants: map[string]int{}}
 	for i, name := range next.Classes {
@@ -59,7 +59,7 @@
 		g.classes[index] = classSlot{name: name, class: class}
 		change.Classes[name] = index
 	}
-	g.dropOthers(now, change.Classes)
+	g.markDropped(now, change.Classes)
 	for _, name := range next.Tenants {
 		change.Tenants[name] = g.tenantIndex(name)
 	}
@@ -68,15 +68,15 @@
 	return change
 }
 
-// indexOf is the index of a class, present or dropped, with this name and definition; -1: there is none.
+// indexOf returns the index of a current or dropped class with this name and definition, or -1 if there is none.
 func (g *Generations) indexOf(name string, class balance.Class) int {
 	return slices.IndexFunc(g.classes, func(slot classSlot) bool { return slot.name == name && slot.class == class })
 }
 
-// freeIndex is an index for a new class: that of a class long dropped, or a further one.
+// freeIndex returns an index for a new class: that of a class dropped long ago, or an additional one.
 func (g *Generations) freeIndex(now time.Time, inUse func(class int) bool) int {
 	for i, slot := range g.classes {
-		if !slot.droppedAt.IsZero() && now.Sub(slot.droppedAt) > indexRestPeriod && !inUse(i) {
+		if !slot.droppedAt.IsZero() && now.Sub(slot.droppedAt) > indexReuseDelay && !inUse(i) {
 			return i
 		}
 	}
@@ -84,11 +84,11 @@
 	return len(g.classes) - 1
 }
 
-// dropOthers notes which classes the new settings do not name.
-func (g *Generations) dropOthers(now time.Time, present map[string]int) {
+// markDropped marks the classes that the new settings do not contain as dropped.
+func (g *Generations) markDropped(now time.Time, current map[string]int) {
 	for i := range g.classes {
 		slot := &g.classes[i]
-		if index, ok := present[slot.name]; slot.droppedAt.IsZero() && (!ok || index != i) {
+		if index, ok := current[slot.name]; slot.droppedAt.IsZero() && (!ok || index != i) {
 			slot.droppedAt = now
 		}
 	}
@@ -102,8 +102,8 @@
 	return len(g.tenants) - 1
 }
 
-// merge returns the present settings with the classes and tenants of all indices, and what else may change while a process
-// runs. Tenants that the new settings do not name have no limit of their own any more.
+// merge returns the current settings with the classes and tenants of all indices and the other values that may change
+// while a process runs. A tenant that the new settings do not contain no longer has a quota.
 func (g *Generations) merge(next Deployment, tenants map[string]int) Deployment {
 	merged := g.current
 	merged.MaxOpen = next.MaxOpen
@@ -125,57 +125,57 @@
 	return merged
 }
 
-// SameButForReload reports whether other settings differ only in what Adopt takes over.
+// SameButForReload reports whether other settings differ only in values that Adopt replaces.
 func (d Deployment) SameButForReload(other Deployment) bool {
-	return fixedPart(d) == fixedPart(other) && slices.Equal(d.Zones, other.Zones)
+	return restartOnlyOf(d) == restartOnlyOf(other) && slices.Equal(d.Zones, other.Zones)
 }
 
-// fixed is what only a start applies.
-type fixed struct {
-	rules          balance.Rules
-	tick           time.Duration
-	idle           time.Duration
-	connectTimeout time.Duration
-	instances      int
-	index          int
-	zone           int
-	cells          int
-	reach          int
-	shards         int
-	maxCallParts   int
-	streams        int
-	hedge          bool
-	cancel         bool
-	probe          bool
-	gossip         bool
-	marked         bool
-	onProbe        bool
-	listOnRequest  bool
-	byWork         bool
+// restartOnly contains the values that only a restart of the process applies.
+type restartOnly struct {
+	rules              balance.Rules
+	tick               time.Duration
+	connIdle           time.Duration
+	connectTimeout     time.Duration
+	instances          int
+	instanceIndex      int
+	zone               int
+	cells              int
+	reach              int
+	shards             int
+	maxCallParts       int
+	streamsPerConn     int
+	canHedge           bool
+	canCancel          bool
+	canProbe           bool
+	peerMessages       bool
+	clientsMarkRetries bool
+	loadReportsOnProbe bool
+	listOnRequest      bool
+	weightByWork       bool
 }
 
-func fixedPart(d Deployment) fixed {
+func restartOnlyOf(d Deployment) restartOnly {
 	decisions := &d.Decisions
-	return fixed{
-		rules:          decisions.Rules,
-		tick:           decisions.Tick,
-		idle:           d.ConnIdle,
-		connectTimeout: d.ConnectTimeout,
-		instances:      decisions.Instances,
-		index:          d.InstanceIndex,
-		zone:           decisions.Zone,
-		cells:          decisions.Cells,
-		reach:          decisions.Reach,
-		shards:         decisions.Shards,
-		maxCallParts:   decisions.MaxCallParts,
-		streams:        d.StreamsPerConn,
-		hedge:          decisions.CanHedge,
-		cancel:         decisions.CanCancel,
-		probe:          decisions.CanProbe,
-		gossip:         decisions.PeerMessages,
-		marked:         decisions.ClientsMarkRetries,
-		onProbe:        decisions.LoadReportsOnProbe,
-		listOnRequest:  decisions.ListOnRequest,
-		byWork:         decisions.WeightByWork,
+	return restartOnly{
+		rules:              decisions.Rules,
+		tick:               decisions.Tick,
+		connIdle:           d.ConnIdle,
+		connectTimeout:     d.ConnectTimeout,
+		instances:          decisions.Instances,
+		instanceIndex:      d.InstanceIndex,
+		zone:               decisions.Zone,
+		cells:              decisions.Cells,
+		reach:              decisions.Reach,
+		shards:             decisions.Shards,
+		maxCallParts:       decisions.MaxCallParts,
+		streamsPerConn:     d.StreamsPerConn,
+		canHedge:           decisions.CanHedge,
+		canCancel:          decisions.CanCancel,
+		canProbe:           decisions.CanProbe,
+		peerMessages:       decisions.PeerMessages,
+		clientsMarkRetries: decisions.ClientsMarkRetries,
+		loadReportsOnProbe: decisions.LoadReportsOnProbe,
+		listOnRequest:      decisions.ListOnRequest,
+		weightByWork:       decisions.WeightByWork,
 	}
 }
--- a/internal/settings/generations_test.go
+++ b/internal/settings/generations_test.go
@@ -13,12 +13,12 @@
 
 var startTime = time.Unix(1000, 0)
 
-// class is a class that is told from others by its objective.
+// class returns a class that differs from others by its objective.
 func class(objective int) balance.Class {
 	return balance.Class{Objective: time.Duration(objective) * time.Second, Deadline: time.Hour, CompleteFraction: 1}
 }
 
-// deployment names classes by the objectives of their definitions: "a1" is class a with an objective of 1 s.
+// deployment returns a deployment with the given classes: "a1" is class a with an objective of 1 s.
 func deployment(classes ...string) Deployment {
 	d := Deployment{Tenants: []string{"tv"}}
 	d.Decisions.Tenants = []balance.Tenant{{Quota: 7}}
@@ -44,8 +44,8 @@
 		{"added, in another order", deployment("d1", "c1", "a1", "b1"), 0, map[string]int{"a": 0, "b": 1, "c": 2, "d": 3}, []int{3}},
 		{"redefined", deployment("a1", "b2", "c1"), 0, map[string]int{"a": 0, "b": 4, "c": 2}, []int{4}},
 		{"as before", deployment("a1", "b1", "c1"), 0, map[string]int{"a": 0, "b": 1, "c": 2}, nil},
-		{"dropped index rests", deployment("a1", "b3"), 0, map[string]int{"a": 0, "b": 5}, []int{5}},
-		{"dropped index is used again", deployment("a1", "e1"), 2 * indexRestPeriod, map[string]int{"a": 0, "e": 1}, []int{1}},
+		{"dropped index stays unused", deployment("a1", "b3"), 0, map[string]int{"a": 0, "b": 5}, []int{5}},
+		{"dropped index is reused", deployment("a1", "e1"), 2 * indexReuseDelay, map[string]int{"a": 0, "e": 1}, []int{1}},
 	} {
 		change := g.Adopt(startTime.Add(step.after), step.next, unused)
 		if !reflect.DeepEqual(change.Classes, step.classes) || !slices.Equal(change.Fresh, step.fresh) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Attempts, tenants and their quotas are those of the new settings; what needs a start stays.
+// Attempts, tenants and quotas are those of the new settings; values that only a restart applies stay.
 func TestGenerations_Adopt_TenantsAndLimits(t *testing.T) {
 	g := NewGenerations(deployment("a1"))
 	next := deployment("a1")
@@ -78,12 +78,12 @@
 		t.Errorf("%+v", merged)
 	}
 	if next.SameButForReload(deployment("a1")) || !deployment("b1", "c2").SameButForReload(deployment("a1")) {
-		t.Error("what only a start applies is not told from what a reload does")
+		t.Error("values that only a restart applies are not distinguished from those of a reload")
 	}
 }
 
-// Whatever settings follow each other: a name always stands for its present definition, and the index of a query that is
-// open keeps the definition that the query came under.
+// For any sequence of settings, a name always refers to its current definition, and the index of an open query keeps
+// the definition under which the query arrived.
 func TestGenerations_IndicesKeepTheirMeaning(t *testing.T) {
 	type openQuery struct {
 		index int
@@ -92,7 +92,7 @@
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := NewGenerations(deployment("a1"))
-		present := g.Adopt(startTime, deployment("a1"), unused)
+		current := g.Adopt(startTime, deployment("a1"), unused)
 		var open []openQuery
 		now := startTime
 		for range 60 {
@@ -104,25 +104,25 @@
 				}
 			}
 			next := deployment(names...)
-			present = g.Adopt(now, next, func(index int) bool {
+			current = g.Adopt(now, next, func(index int) bool {
 				return slices.ContainsFunc(open, func(q openQuery) bool { return q.index == index })
 			})
 			for i, name := range next.Classes {
-				if got := present.Deployment.Decisions.Classes[present.Classes[name]]; got != next.Decisions.Classes[i] {
+				if got := current.Deployment.Decisions.Classes[current.Classes[name]]; got != next.Decisions.Classes[i] {
 					t.Fatalf("seed %d: %s is %v", seed, name, got)
 				}
 			}
 			for _, q := range open {
-				if present.Deployment.Decisions.Classes[q.index] != q.class {
+				if current.Deployment.Decisions.Classes[q.index] != q.class {
 					t.Fatalf("seed %d: an open query's class has changed", seed)
 				}
 			}
 			open = slices.DeleteFunc(open, func(openQuery) bool { return random.IntN(3) == 0 })
-			for _, index := range present.Classes {
-				open = append(open, openQuery{index, present.Deployment.Decisions.Classes[index]})
+			for _, index := range current.Classes {
+				open = append(open, openQuery{index, current.Deployment.Decisions.Classes[index]})
 			}
 		}
-		if classes := len(present.Deployment.Classes); classes > 40 {
+		if classes := len(current.Deployment.Classes); classes > 40 {
 			t.Errorf("seed %d: %d indices for at most five classes", seed, classes)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object that the platform hands to each aggregator, and the simulator to each
-// simulated one. It states classes, tenants, zones, limits and the rules of the platform. The object's keys are the
-// platform's; the fields here carry the terms of the code.
+// Package settings parses the settings object that the platform passes to each aggregator, and the simulator to each
+// simulated one. It contains classes, tenants, zones, limits and the rules of the platform. The keys of the object are
+// the platform's; the fields here use the terms of the code.
 package settings
 
 import (
@@ -12,22 +12,22 @@
 	"rooktrestle/balance"
 )
 
-// Deployment is all that the settings state: what the balancer needs, and what an aggregator on sockets needs
-// beside it.
+// Deployment contains all values of the settings object: those for the balancer, and those that only an aggregator on
+// sockets needs.
 type Deployment struct {
-	Decisions      balance.Settings // all but the seed
+	Decisions      balance.Settings // all except the seed
 	Classes        []string         // names, in the order of Decisions.Classes
 	Tenants        []string         // names, in the order of Decisions.Tenants
 	Zones          []string         // names, by the zone's number
-	ConnIdle       time.Duration    // servers close a connection that is idle for so long
+	ConnIdle       time.Duration    // idle time after which servers close a connection
 	ConnectTimeout time.Duration
 	InstanceIndex  int           // this aggregator's number among its peers, from 0
-	MaxOpen        int           // queries and parts held; 0: not limited
-	StreamsPerConn int           // calls at once on one connection, at least 1
-	MaxRetryAfter  time.Duration // the longest Retry-After that clients follow, forwarded by the simulator or not
+	MaxOpen        int           // maximum number of open queries and parts; 0: unlimited
+	StreamsPerConn int           // concurrent calls on one connection, at least 1
+	MaxRetryAfter  time.Duration // longest Retry-After that clients honor, whether or not the simulator forwards it
 }
 
-// Parse reads the settings object. Unknown keys are ignored. Where it returns an error, the Deployment is not complete.
+// Parse parses the settings object. Unknown keys are ignored. If it returns an error, the Deployment is incomplete.
 func Parse(text []byte) (Deployment, error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -58,7 +58,7 @@
 	return d, nil
 }
 
-// balancerSettings are the settings of the balancer but for its classes, tenants and seed.
+// balancerSettings returns the settings of the balancer without its classes, tenants and seed.
 func (doc *document) balancerSettings() balance.Settings {
 	s := balance.Settings{
 		Instances:          doc.Instances,
@@ -89,7 +89,7 @@
 	return s
 }
 
-// rules are the rules of the platform that the balancer keeps to.
+// rules returns the rules of the platform that the balancer obeys.
 func (doc *document) rules() balance.Rules {
 	return balance.Rules{
 		WarmupPeriod:      doc.Rules.WarmupPeriod.duration(),
@@ -103,9 +103,9 @@
 	}
 }
 
-// classes are the request classes, of which "extra" states some values in lists of their own.
+// classes returns the query classes. Some of their values are in lists of "extra", by class.
 func (doc *document) classes() (classes []balance.Class, err error) {
-	if !doc.extraStatesEachClass() {
+	if !doc.extraCoversEachClass() {
 		return nil, errors.New("extra does not state each class once")
 	}
 	for i, class := range doc.Classes {
@@ -130,16 +130,16 @@
 	return classes, nil
 }
 
-// extraStatesEachClass reports whether each list of "extra" has one value for each class.
-func (doc *document) extraStatesEachClass() bool {
+// extraCoversEachClass reports whether each list of "extra" has one value per class.
+func (doc *document) extraCoversEachClass() bool {
 	classes := len(doc.Classes)
 	extra := &doc.Extra
 	return len(extra.MinFractions) == classes && len(extra.CompleteFractions) == classes &&
 		len(extra.PartialFractions) == classes && len(extra.FollowUpParts) == classes
 }
 
-// SetLoadValue stores one value of a load report in its field. Leaf servers name the values as the simulator does,
-// or as the leaf protocol's specification does; unknown names are skipped.
+// SetLoadValue stores one value of a load report in its field. Leaf servers use either the simulator's names of the
+// values or those of the leaf protocol's specification; unknown names are ignored.
 func SetLoadValue(report *balance.LoadReport, name string, value float64) {
 	switch name {
 	case "pending", "queue":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"rooktrestle/balance"
 )
 
-// extra states the values of one class.
+// extra is the part of the settings object with the values of one class.
 const extra = `"extra":{"class_floor":[1],"follow_up":[0],"incomplete_worth":[1],"need_by_class":[1]}`
 
 func TestParse_StatesWhatAnAggregatorOnSocketsNeeds(t *testing.T) {
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Decisions = balance.Settings{} // checked by package simadapter
+	d.Decisions = balance.Settings{} // tested in package simadapter
 	want := Deployment{
 		Classes:        []string{"search"},
 		Tenants:        []string{"tenant"},
@@ -36,7 +36,7 @@
 	}
 }
 
-// Clients of the simulator follow Retry-After only where it forwards it; those on sockets always do.
+// Clients of the simulator honor Retry-After only if the simulator forwards it; clients on sockets always do.
 func TestParse_BalancerHasNoRetryAfterWhereItIsNotForwarded(t *testing.T) {
 	for forwarded, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
 		d, err := Parse([]byte(`{"classes":[{"effect":"safe"}],` + extra +
