--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,14 +9,13 @@
 	"rooktrestle/internal/settings"
 )
 
-// decoders read the events of a frame, by the name of their message. A decoder returns nil for one that the
-// balancer has no use for. Errors of single fields are kept in the message; what is returned beside one is not
-// used.
+// decoders decode the events of a frame, by the name of their message. A decoder returns nil for an event that the
+// balancer does not use. Errors of single fields are stored in the message; the Input returned with one is not used.
 var decoders = map[string]func(*Reader, *message) (Input, error){
 	"POWER_ON":       decodeStart,
 	"RETIRE":         decodeStop,
 	"MEMBERSHIP":     decodeEndpointList,
-	"WORK_ITEM":      decodeWork,
+	"WORK_ITEM":      decodeWorkItem,
 	"RESULT":         decodeAttemptEnded,
 	"HEALTH":         decodeProbeEnded,
 	"ALARM":          decodeTimerFired,
@@ -25,7 +24,7 @@
 	"STREAMING":      ignore,
 }
 
-// The protocol's words for values.
+// The protocol's names for values.
 var (
 	endpointStates = map[string]balance.EndpointState{
 		"in_service":  balance.InService,
@@ -67,7 +66,7 @@
 	if message.err != nil || list.Kind == balance.ListFailed {
 		return BalancerEvent{list}, nil
 	}
-	number := message.integerUpTo("list", maxList)
+	number := message.integerUpTo("list", maxListNumber)
 	endpoints, defined := r.lists[number]
 	if !defined && message.err == nil {
 		message.fail("list %d is not defined", number)
@@ -76,8 +75,8 @@
 	return BalancerEvent{list}, nil
 }
 
-// decodeWork reads a query, or one of its parts: those have a segment.
-func decodeWork(_ *Reader, message *message) (Input, error) {
+// decodeWorkItem decodes a part, or a query if its segment number is negative.
+func decodeWorkItem(_ *Reader, message *message) (Input, error) {
 	id := balance.ID(message.unsigned("handle"))
 	group := message.unsigned("group_no")
 	shard := message.integer("segment_no")
@@ -125,7 +124,7 @@
 }
 
 func decodeTimerFired(_ *Reader, m *message) (Input, error) {
-	m.unsigned("handle") // required, though one timer is all there is
+	m.unsigned("handle") // required, although there is only one timer
 	return BalancerEvent{balance.TimerFired{}}, nil
 }
 
@@ -133,8 +132,8 @@
 	return BalancerEvent{balance.ClientDisconnected{Query: balance.ID(m.unsigned("handle"))}}, nil
 }
 
-// decodeGossip reads a message of another instance. A garbled one is passed on as empty: to drop it is the balancer's
-// task.
+// decodeGossip decodes a gossip message of another instance. A corrupt one is passed on as empty, as the balancer drops
+// invalid messages.
 func decodeGossip(_ *Reader, m *message) (Input, error) {
 	payload, err := hex.DecodeString(strings.TrimPrefix(m.textOr("msg", ""), "-"))
 	if err != nil {
@@ -143,10 +142,10 @@
 	return BalancerEvent{balance.GossipReceived{Payload: payload}}, nil
 }
 
-// ignore is the decoder of a message that the balancer has no use for.
+// ignore is the decoder of messages that the balancer does not use.
 func ignore(*Reader, *message) (Input, error) { return nil, nil }
 
-// endpoint reads a SERVER, an entry of an endpoint list.
+// endpoint decodes a SERVER message, an entry of an endpoint list.
 func (m *message) endpoint() balance.Endpoint {
 	return balance.Endpoint{
 		Replica: balance.Replica(m.text("server")),
--- a/internal/simadapter/frame.go
+++ b/internal/simadapter/frame.go
@@ -1,5 +1,5 @@
-// Package simadapter decodes and encodes the simulator's line protocol: frames of events in, actions out. It decides
-// nothing. The words of the protocol are the simulator's: it calls an aggregator a gatherer.
+// Package simadapter decodes and encodes the simulator's line protocol: frames of events in, actions out. It makes no
+// decisions. The names on the wire are the simulator's, which calls an aggregator a gatherer.
 package simadapter
 
 import (
@@ -8,7 +8,7 @@
 	"rooktrestle/balance"
 )
 
-// Frame is a batch of events that happened at one time.
+// Frame is a batch of events that occurred at the same time.
 type Frame struct {
 	Now    time.Duration // simulated time, from the start of the simulation
 	Events []Event
@@ -20,13 +20,13 @@
 	Input    Input
 }
 
-// Input is what an Event brings: a Start, a Stop or a BalancerEvent.
+// Input is the content of an Event: a Start, a Stop or a BalancerEvent.
 type Input interface{ input() }
 
-// Start starts an instance, which knows nothing yet. One that is running already is replaced.
+// Start starts an instance with an empty state. It replaces an instance of that name that is running.
 type Start struct{ Settings balance.Settings }
 
-// Stop says that an instance was killed.
+// Stop reports that an instance was killed.
 type Stop struct{}
 
 // BalancerEvent is an event for an instance's balancer.
--- a/internal/simadapter/message.go
+++ b/internal/simadapter/message.go
@@ -12,21 +12,21 @@
 	"rooktrestle/internal/settings"
 )
 
-// message is one line of input: its name and its fields, name=value, separated by tabs. The methods read fields; the
-// first error is kept in err, and what they return from then on means nothing.
+// message is one line of input: its name and its fields, name=value, separated by tabs. The methods parse fields and
+// store the first error in err; the values that they return after an error are undefined.
 type message struct {
 	name   string
 	fields map[string]string
 	err    error
 }
 
-// parseMessage splits a line.
+// parseMessage splits a line into a name and fields.
 func parseMessage(text string) (*message, error) {
 	name, remainder, _ := strings.Cut(text, "\t")
 	m := &message{name: name, fields: map[string]string{}}
 	for remainder != "" {
 		if env, ok := strings.CutPrefix(remainder, "env="); ok {
-			m.fields["env"] = env // takes all that follows on the line
+			m.fields["env"] = env // extends to the end of the line
 			break
 		}
 		var field string
@@ -35,7 +35,7 @@
 		if !ok || key == "" {
 			return nil, fmt.Errorf("%s: %q is not name=value", name, field)
 		}
-		if _, twice := m.fields[key]; twice {
+		if _, duplicate := m.fields[key]; duplicate {
 			return nil, fmt.Errorf("%s: %s is given twice", name, key)
 		}
 		m.fields[key] = value
@@ -43,14 +43,14 @@
 	return m, nil
 }
 
-// fail keeps an error, unless there is one already.
+// fail stores an error unless there is one already.
 func (m *message) fail(format string, args ...any) {
 	if m.err == nil {
 		m.err = fmt.Errorf("%s: %w", m.name, fmt.Errorf(format, args...))
 	}
 }
 
-// textOr reads a field that may be missing.
+// textOr returns a field, or fallback if it is missing.
 func (m *message) textOr(key, fallback string) string {
 	if value, ok := m.fields[key]; ok {
 		return value
@@ -58,7 +58,7 @@
 	return fallback
 }
 
-// text reads a required field.
+// text returns a required field.
 func (m *message) text(key string) string {
 	value, ok := m.fields[key]
 	if !ok {
@@ -67,7 +67,7 @@
 	return value
 }
 
-// parse reads a required field by a function; kind says in errors what the field should be.
+// parse parses a required field by parseText; kind states in errors what the field should be.
 func parse[T any](message *message, key, kind string, parseText func(string) (T, error)) T {
 	text := message.text(key)
 	if message.err != nil {
@@ -86,15 +86,15 @@
 	return ok
 }
 
-// unsigned reads a whole number from 0.
+// unsigned parses an integer of at least 0.
 func (m *message) unsigned(key string) uint64 { return parse(m, key, "a number from 0", parseUnsigned) }
 
 func parseUnsigned(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
 
-// integer reads a whole number.
+// integer parses an integer.
 func (m *message) integer(key string) int { return parse(m, key, "a whole number", strconv.Atoi) }
 
-// integerUpTo reads a whole number from 0 to a limit.
+// integerUpTo parses an integer from 0 to a limit.
 func (m *message) integerUpTo(key string, limit int) int {
 	n := m.integer(key)
 	if m.err == nil && (n < 0 || n > limit) {
@@ -103,7 +103,7 @@
 	return n
 }
 
-// integerOrZero reads a whole number from 0 that may be missing: then it is 0.
+// integerOrZero parses an integer of at least 0, and returns 0 if it is missing.
 func (m *message) integerOrZero(key string) int {
 	if !m.has(key) {
 		return 0
@@ -111,10 +111,10 @@
 	return m.integerUpTo(key, math.MaxInt32)
 }
 
-// number reads a finite number.
+// number parses a finite number.
 func (m *message) number(key string) float64 { return parse(m, key, "a number", parseNumber) }
 
-// numberOr reads a finite number that may be missing.
+// numberOr parses a finite number, and returns fallback if it is missing.
 func (m *message) numberOr(key string, fallback float64) float64 {
 	if !m.has(key) {
 		return fallback
@@ -130,7 +130,7 @@
 	return number, err
 }
 
-// time reads a duration in microseconds.
+// time parses a duration in microseconds.
 func (m *message) time(key string) time.Duration { return parse(m, key, "a time", parseMicros) }
 
 // maxMicros is the longest time.Duration in microseconds.
@@ -144,7 +144,7 @@
 	return time.Duration(micros) * time.Microsecond, err
 }
 
-// timeOr reads a duration that may be missing.
+// timeOr parses a duration in microseconds, and returns fallback if it is missing.
 func (m *message) timeOr(key string, fallback time.Duration) time.Duration {
 	if !m.has(key) {
 		return fallback
@@ -152,10 +152,10 @@
 	return m.time(key)
 }
 
-// oneOf reads a field whose value is one of the protocol's words.
+// oneOf returns the value for a field that must be one of the given names.
 func oneOf[T any](m *message, key string, values map[string]T) T {
-	return parse(m, key, "known", func(word string) (T, error) {
-		value, ok := values[word]
+	return parse(m, key, "known", func(name string) (T, error) {
+		value, ok := values[name]
 		if !ok {
 			return value, errors.New("unknown")
 		}
@@ -163,8 +163,7 @@
 	})
 }
 
-// report reads a load report, name:number pairs separated by commas; nil where there is none. Unknown names are
-// skipped.
+// report parses a load report, name:number pairs separated by commas; nil if there is none. Unknown names are ignored.
 func (m *message) report(key string) *balance.LoadReport {
 	text := m.textOr(key, "")
 	if text == "" {
--- a/internal/simadapter/reader.go
+++ b/internal/simadapter/reader.go
@@ -11,27 +11,27 @@
 	"rooktrestle/balance"
 )
 
-// readBuffer is the size of the input buffer in bytes. Settings come in one long line.
+// readBuffer is the size of the input buffer in bytes. The settings are one long line.
 const readBuffer = 1 << 20
 
-// maxList is the highest number of an endpoint list.
-const maxList = 15
+// maxListNumber is the highest number of an endpoint list.
+const maxListNumber = 15
 
-// Reader reads frames. The endpoint lists that the input defines by number live as long as the Reader does. It is not
-// safe for concurrent use.
+// Reader reads frames. It retains the endpoint lists that the input defines by number across frames. It is not safe for
+// concurrent use.
 type Reader struct {
 	input *bufio.Reader
 	line  int // number of the last line read
 	lists map[int][]balance.Endpoint
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(r, readBuffer), lists: map[int][]balance.Endpoint{}}
 }
 
-// Frame reads the next frame. It returns io.EOF where the input ends between frames; other errors state the line. After
-// an error the Reader cannot go on.
+// Frame reads the next frame. It returns io.EOF if the input ends between frames; other errors state the line. The
+// Reader cannot be used after an error.
 func (r *Reader) Frame() (*Frame, error) {
 	m, err := r.next()
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// next reads one line as a message; io.EOF at the end of the input. Empty lines are skipped.
+// next parses the next line that is not empty. It returns io.EOF at the end of the input.
 func (r *Reader) next() (*message, error) {
 	for {
 		text, err := r.input.ReadString('\n')
@@ -89,10 +89,10 @@
 	}
 }
 
-// wrap adds the line to an error.
+// wrap adds the line number to an error.
 func (r *Reader) wrap(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
-// instance reads a TARGET_INSTANCE: the events that follow are for it.
+// instance parses a TARGET_INSTANCE, which names the instance of the events that follow.
 func (m *message) instance() string {
 	name := m.text("gatherer")
 	if m.err == nil && name == "" {
@@ -103,10 +103,10 @@
 
 // defineList reads the entries of a DEFINE_LIST.
 func (r *Reader) defineList(message *message) error {
-	number := message.integerUpTo("list", maxList)
+	number := message.integerUpTo("list", maxListNumber)
 	count := message.integerUpTo("members", math.MaxInt32)
 	if message.err != nil {
-		return nil // the caller reports m.err
+		return nil // the caller reports message.err
 	}
 	var list []balance.Endpoint
 	for range count {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// appendEvent reads a message that is an event for an instance, and appends it to a frame.
+// appendEvent decodes a message that is an event for an instance, and appends it to a frame.
 func (r *Reader) appendEvent(frame *Frame, instance string, message *message) error {
 	decode, ok := decoders[message.name]
 	if !ok {
--- a/internal/simadapter/reader_test.go
+++ b/internal/simadapter/reader_test.go
@@ -11,7 +11,7 @@
 	"rooktrestle/balance"
 )
 
-// settingsJSON is a settings object, with keys that are not known.
+// settingsJSON is a settings object that includes unknown keys.
 const settingsJSON = `{"callers":{"marks_retry":true},` +
 	`"classes":[{"aim":1000,"credit":2,"deadline":3000,"effect":"keyed","late_worth":0.3,` +
 	`"memory_span":500,"unheard_of":1}],"counted_by":"work","extra":{"call":7,"cells":3,"class_floor":[0.5],` +
@@ -20,14 +20,14 @@
 	`"orgs":[{"quota_per_s":5,"share":0.5}],"rules":{"cold":9000,"must_ask_in":700,"tip_multiple":2.5},` +
 	`"tick":10,"zone":1,"x":[]}`
 
-// readFrame reads a frame of these lines.
+// readFrame reads a frame that consists of the lines.
 func readFrame(t *testing.T, lines ...string) (*Frame, error) {
 	t.Helper()
 	text := "FRAME\tsim_time=50\n" + strings.Join(lines, "\n") + "\nFLUSH\n"
 	return NewReader(strings.NewReader(text)).Frame()
 }
 
-// everyEvent is a line of each event that the balancer has a use for.
+// everyEvent contains a line of each event that the balancer uses.
 var everyEvent = []string{
 	"TARGET_INSTANCE\tgatherer=gatherer_3",
 	"POWER_ON\tseed=9\tenv=" + settingsJSON,
@@ -177,15 +177,15 @@
 	} {
 		_, err := readFrame(t, "TARGET_INSTANCE\tgatherer=g", line)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "line ") {
-			t.Errorf("%q: error %v, want a line and %q", line, err, want)
+			t.Errorf("%q: error %v, want one with the line and %q", line, err, want)
 		}
 	}
 	if _, err := readFrame(t, "ALARM\thandle=1"); err == nil || !strings.Contains(err.Error(), "before any") {
-		t.Errorf("event for nobody: %v", err)
+		t.Errorf("event without an instance: %v", err)
 	}
 	for _, text := range []string{"FRAME\tsim_time=1\n", "FRAME\tsim_time=1\nALARM"} {
 		if _, err := NewReader(strings.NewReader(text)).Frame(); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%q: error %v, want one that says the input ends", text, err)
+			t.Errorf("%q: error %v, want one that states the end of the input", text, err)
 		}
 	}
 	if _, err := NewReader(strings.NewReader("YIELD\n")).Frame(); err == nil {
@@ -193,12 +193,12 @@
 	}
 }
 
-// endpointList is the endpoint list that an event brings.
+// endpointList returns the endpoint list of an event.
 func endpointList(t *testing.T, e Event) balance.EndpointList {
 	t.Helper()
 	event, ok := e.Input.(BalancerEvent)
 	if !ok {
-		t.Fatalf("%+v is no event for the balancer", e)
+		t.Fatalf("%+v is not an event for the balancer", e)
 	}
 	return event.Event.(balance.EndpointList)
 }
--- a/internal/simadapter/writer.go
+++ b/internal/simadapter/writer.go
@@ -12,14 +12,14 @@
 // writeBuffer is the size of the output buffer in bytes.
 const writeBuffer = 1 << 16
 
-// Writer writes replies: the actions of each instance that acts, then End. An error of the output is kept, and End
-// returns it. A Writer is not safe for concurrent use.
+// Writer writes replies: the actions of each instance that has any, then End. It retains the first error of the output,
+// which End returns. A Writer is not safe for concurrent use.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, writeBuffer)} }
 
-// Actions writes the actions of one instance; nothing if there are none.
+// Actions writes the actions of one instance, or nothing if there are none.
 func (w *Writer) Actions(instance string, actions []balance.Action) {
 	if len(actions) == 0 {
 		return
@@ -82,7 +82,7 @@
 	w.printf("\n")
 }
 
-// Fault reports that the adapter cannot go on.
+// Fault reports an error after which the adapter cannot continue.
 func (w *Writer) Fault(text string) {
 	w.printf("BAIL_OUT\tnote_text=%s\n", strings.Join(strings.Fields(text), " "))
 }
@@ -94,5 +94,5 @@
 }
 
 func (w *Writer) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(w.out, format, args...) // the buffer keeps the first error for Flush
+	_, _ = fmt.Fprintf(w.out, format, args...) // the buffer retains the first error for Flush
 }
