--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -55,8 +55,8 @@
 // SetVocabulary sets what requests may name from now on.
 func (f *Frontend) SetVocabulary(next Vocabulary, now time.Time) {
 	former := *f.vocabulary.Load()
-	former.Former = nil // one generation back is enough
-	next.Former = &former
+	former.Previous = nil // one generation back is enough
+	next.Previous = &former
 	next.FormerUntil = now.Add(formerPeriod)
 	f.vocabulary.Store(&next)
 }
--- a/internal/frontend/platform/vocabulary.go
+++ b/internal/frontend/platform/vocabulary.go
@@ -7,9 +7,9 @@
 	Classes    map[string]int
 	Tenants    map[string]int // empty: requests state none
 	MaxTimeout time.Duration
-	// Former is what requests could name before, which they may until FormerUntil: they were sent before their clients
+	// Previous is what requests could name before, which they may until FormerUntil: they were sent before their clients
 	// learned of the change. nil: there is nothing.
-	Former      *Vocabulary
+	Previous      *Vocabulary
 	FormerUntil time.Time
 }
 
@@ -28,18 +28,18 @@
 
 // class is the index of a class that requests may name at now.
 func (v *Vocabulary) class(name string, now time.Time) (index int, ok bool) {
-	if index, ok = v.Classes[name]; ok || v.Former == nil || now.After(v.FormerUntil) {
+	if index, ok = v.Classes[name]; ok || v.Previous == nil || now.After(v.FormerUntil) {
 		return index, ok
 	}
-	index, ok = v.Former.Classes[name]
+	index, ok = v.Previous.Classes[name]
 	return index, ok
 }
 
 // tenant is the index of a tenant that requests may name at now.
 func (v *Vocabulary) tenant(name string, now time.Time) (index int, ok bool) {
-	if index, ok = v.Tenants[name]; ok || v.Former == nil || now.After(v.FormerUntil) {
+	if index, ok = v.Tenants[name]; ok || v.Previous == nil || now.After(v.FormerUntil) {
 		return index, ok
 	}
-	index, ok = v.Former.Tenants[name]
+	index, ok = v.Previous.Tenants[name]
 	return index, ok
 }
