--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -57,7 +57,7 @@
 	former := *f.vocabulary.Load()
 	former.Previous = nil // one generation back is enough
 	next.Previous = &former
-	next.FormerUntil = now.Add(formerPeriod)
+	next.PreviousUntil = now.Add(formerPeriod)
 	f.vocabulary.Store(&next)
 }
 
--- a/internal/frontend/platform/vocabulary.go
+++ b/internal/frontend/platform/vocabulary.go
@@ -10,7 +10,7 @@
 	// Previous is what requests could name before, which they may until FormerUntil: they were sent before their clients
 	// learned of the change. nil: there is nothing.
 	Previous      *Vocabulary
-	FormerUntil time.Time
+	PreviousUntil time.Time
 }
 
 // newVocabulary numbers names in their order.
@@ -28,7 +28,7 @@
 
 // class is the index of a class that requests may name at now.
 func (v *Vocabulary) class(name string, now time.Time) (index int, ok bool) {
-	if index, ok = v.Classes[name]; ok || v.Previous == nil || now.After(v.FormerUntil) {
+	if index, ok = v.Classes[name]; ok || v.Previous == nil || now.After(v.PreviousUntil) {
 		return index, ok
 	}
 	index, ok = v.Previous.Classes[name]
@@ -37,7 +37,7 @@
 
 // tenant is the index of a tenant that requests may name at now.
 func (v *Vocabulary) tenant(name string, now time.Time) (index int, ok bool) {
-	if index, ok = v.Tenants[name]; ok || v.Previous == nil || now.After(v.FormerUntil) {
+	if index, ok = v.Tenants[name]; ok || v.Previous == nil || now.After(v.PreviousUntil) {
 		return index, ok
 	}
 	index, ok = v.Previous.Tenants[name]
