--- a/internal/backend/leaf/answer.go
+++ b/internal/backend/leaf/answer.go
@@ -10,24 +10,24 @@
 	"rooktrestle/internal/settings"
 )
 
-// answerStatus is how a server says that an attempt ended.
+// answerStatus is the outcome of an attempt as its server reports it.
 type answerStatus byte
 
-// The statuses of an answer, as they stand in a frame.
+// Statuses of an answer, as encoded in a frame.
 const (
 	statusServed answerStatus = 'S'
 	statusError  answerStatus = 'E'
-	statusBusy   answerStatus = 'B' // rejected, its queue being full
+	statusBusy   answerStatus = 'B' // rejected: the server's queue is full
 )
 
 func (s answerStatus) valid() bool {
 	return s == statusServed || s == statusError || s == statusBusy
 }
 
-// probeFailed is the payload of a probe's answer by which a server says that it cannot serve.
+// probeFailed is the payload of a probe's answer by which a server reports that it cannot serve.
 const probeFailed = "E"
 
-// answer is the payload of an answer frame: a line and, if the attempt was served, a value.
+// answer is the decoded payload of an answer frame: a first line and, if the attempt was served, a value.
 type answer struct {
 	name   string // of the part
 	status answerStatus
@@ -39,12 +39,12 @@
 func parseAnswer(payload []byte) (answer, error) {
 	line, value, ok := strings.Cut(string(payload), "\n")
 	if !ok {
-		return answer{}, fmt.Errorf("answer %.80q", line)
+		return answer{}, fmt.Errorf("answer without a line end: %.80q", line)
 	}
 	a, err := parseAnswerLine(line)
 	a.value = value
-	if err == nil && a.status == statusServed && !isValue(value) {
-		err = fmt.Errorf("value %.80q", value)
+	if err == nil && a.status == statusServed && !isValidValue(value) {
+		err = fmt.Errorf("answer value %.80q is not %d lowercase hexadecimal digits", value, valueLen)
 	}
 	return a, err
 }
@@ -54,16 +54,16 @@
 func parseAnswerLine(line string) (a answer, err error) {
 	fields := strings.SplitN(line, " ", 4)
 	if len(fields) < 3 || fields[0] == "" || len(fields[1]) != 1 {
-		return a, fmt.Errorf("answer %.80q", line)
+		return a, fmt.Errorf("malformed answer line %.80q, want NAME STATUS SCORE [REPORT]", line)
 	}
 	status := answerStatus(fields[1][0])
 	if !status.valid() {
-		return a, fmt.Errorf("answer %.80q", line)
+		return a, fmt.Errorf("unknown status in answer line %.80q, want S, E or B", line)
 	}
 	a = answer{name: fields[0], status: status}
 	a.score, err = strconv.ParseFloat(fields[2], 64)
 	if a.status == statusServed && (err != nil || math.IsNaN(a.score) || math.IsInf(a.score, 0)) {
-		return a, fmt.Errorf("score %.80q", fields[2])
+		return a, fmt.Errorf("answer score %.80q is not a finite number", fields[2])
 	}
 	if len(fields) == 4 {
 		a.report = parseReport(fields[3])
@@ -71,9 +71,9 @@
 	return a, nil
 }
 
-// isValue reports whether a value has the form of one. Guards against serving what no leaf server made: a corrupt length
-// cuts a value short, or adds to it.
-func isValue(value string) bool {
+// isValidValue reports whether a value has the form that leaf servers produce. Guards against serving a value that a
+// corrupt length has truncated or extended.
+func isValidValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
@@ -82,11 +82,11 @@
 	return len(value) == valueLen
 }
 
-// maxLoadValue is the highest value taken from a load report; a higher one is an error of the server's.
+// maxLoadValue is the highest value accepted from a load report; a higher one is an error of the server.
 const maxLoadValue = 1e5
 
-// parseReport parses a load report: "name=value" pairs with commas between them. It returns nil where there is none, or
-// none that can be parsed. Names that are not known are skipped.
+// parseReport parses a load report: comma-separated "name=value" pairs. It returns nil if there is no report or nothing in
+// it can be parsed. Unknown names are skipped.
 func parseReport(text string) *balance.LoadReport {
 	if text == "-" || text == "" || text == probeFailed {
 		return nil
@@ -98,10 +98,10 @@
 		if err != nil || !(value >= 0) || value > maxLoadValue { // a NaN is not >= 0
 			continue
 		}
-		// Leaf servers use the names of the settings, or those of the protocol's page.
+		// Leaf servers use the names of the settings or those of the protocol's specification.
 		settings.SetLoadValue(report, name, value)
 	}
-	// Guards against a report that cannot be parsed being taken for an empty queue.
+	// A report without a parsable value must not be taken for an empty queue.
 	if report.Queue < 0 && report.InFlight < 0 && report.Utilization < 0 {
 		return nil
 	}
--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -9,13 +9,13 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// attemptState is how far an attempt has come; it only ever goes forward.
+// attemptState is the progress of an attempt; it never goes back to an earlier state.
 type attemptState int
 
 const (
-	stateQueued   attemptState = iota // waits for a connection
+	stateQueued   attemptState = iota // waiting for a connection
 	stateWriting                      // handed to the transport
-	stateInFlight                     // written completely, and not answered
+	stateInFlight                     // written completely, not answered
 )
 
 func (s attemptState) String() string {
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("attemptState(%d)", int(s))
 }
 
-// attempt is one attempt at a part, from Send until its end was emitted.
+// attempt is one attempt at a part, from Send until its AttemptEnded event is emitted.
 type attempt struct {
 	call      aggregator.OutgoingAttempt
 	host      *host
@@ -38,20 +38,20 @@
 	state     attemptState
 	writtenAt time.Time // when it was handed to the transport
 	canceled  bool
-	// unconfirmed: canceled, but ends only once a probe behind its cancel frame is answered. See Pool.Cancel.
+	// unconfirmed: canceled, but ends only once the probe sent behind its cancel frame is answered. See Pool.Cancel.
 	unconfirmed bool
 }
 
-// batch is the attempts that go to a server in one call.
+// batch is the attempts sent to a server in one call.
 type batch struct {
 	host          *host
-	addr          string    // of the server when they were sent
-	serverStarted time.Time // and when it was last started
+	addr          string    // the server's address when Send was called
+	serverStarted time.Time // the server's start time as listed then
 	attempts      []*attempt
 }
 
-// place writes a batch on a connection that can take it, or lets it wait for a new one.
-func (p *Pool) place(now time.Time, batch *batch) {
+// dispatch writes a batch on a connection that accepts it, or queues it for a new one.
+func (p *Pool) dispatch(now time.Time, batch *batch) {
 	conn, idle := p.leastLoaded(now, batch)
 	if conn == nil {
 		p.enqueue(now, batch)
@@ -63,8 +63,8 @@
 	}
 }
 
-// leastLoaded returns the connection with the fewest attempts in flight of those that accept a batch, nil if none does, and
-// how many of them are idle.
+// leastLoaded returns, of the open connections that accept a batch, the one with the fewest attempts in flight, nil if
+// there is none, and how many of them are idle.
 func (p *Pool) leastLoaded(now time.Time, batch *batch) (best *conn, idle int) {
 	for _, conn := range batch.host.conns {
 		if conn.state != connOpen || !p.accepts(now, conn, batch) {
@@ -80,9 +80,9 @@
 	return best, idle
 }
 
-// mayAddConn reports whether another connection to a server is opened for its next part. Guards the parts that share one:
-// a corrupt answer to any of them ends the attempts of all. A quarter of all connections is left for servers that have
-// none.
+// mayAddConn reports whether another connection to a server may be opened for its next part. Guards the parts that would
+// share a connection: a corrupt answer to one of them ends the attempts of all. A quarter of Limits.MaxConnections is
+// reserved for servers without a connection.
 func (p *Pool) mayAddConn(h *host) bool {
 	return len(h.conns) < p.limits.ConnsPerServer &&
 		p.connCount < p.limits.MaxConnections*3/4 &&
@@ -90,7 +90,7 @@
 		!h.isDialing()
 }
 
-// enqueue lets a batch wait, and dials if what is being dialed is not enough for all that waits.
+// enqueue queues a batch, and dials if the connections being dialed cannot carry all batches that wait.
 func (p *Pool) enqueue(now time.Time, batch *batch) {
 	h := batch.host
 	h.waiting = append(h.waiting, batch)
@@ -111,18 +111,18 @@
 	}
 }
 
-// accepts reports whether a batch may go out on an open connection.
+// accepts reports whether a batch may be written on an open connection.
 func (p *Pool) accepts(now time.Time, conn *conn, batch *batch) bool {
 	if conn.unresponsive || conn.draining || !conn.partialSince.IsZero() || conn.addr != batch.addr {
 		return false
 	}
-	// A batch of more than MaxStreams attempts has an empty connection of its own.
+	// A batch of more than MaxStreams attempts is written on a connection with nothing else in flight.
 	maxStreams := max(p.limits.MaxStreams, len(batch.attempts))
 	if len(conn.streams)+len(batch.attempts) > maxStreams || p.stale(now, conn) {
 		return false
 	}
 	for _, attempt := range batch.attempts {
-		// A late answer to an earlier attempt at the part would be taken for this one's.
+		// A late answer to a previous attempt at the part would be taken for the answer to this one.
 		if _, canceled := conn.canceledAt[attempt.call.Name]; canceled || conn.streams[attempt.call.Name] != nil {
 			return false
 		}
@@ -147,7 +147,7 @@
 	conn.lastUsed = now
 	attempts := batch.attempts
 	write := tcp.LateWrite{
-		Size:   callSize(calls),
+		Size:   estimatedCallSize(calls),
 		Within: within,
 		Bytes:  func(now time.Time) []byte { return sendableFrame(now, calls) },
 	}
@@ -156,9 +156,9 @@
 	})
 }
 
-// endUnsendable ends those attempts of a batch that must not be sent any more, now that their connection is open: the
-// server may have begun to drain, moved or restarted, and their time may be over. What was meant for a server's earlier
-// process was not counted against what may be sent to one that is warming up.
+// endUnsendable ends those attempts of a batch that must not be sent on their connection, which is open now: the server may
+// have begun draining, changed its address or restarted, and attempts may have expired. Attempts meant for a server's
+// previous process were not counted against the limit for a server that is warming up.
 func (p *Pool) endUnsendable(now time.Time, batch *batch, listed aggregator.Server) {
 	sendable := batch.attempts[:0]
 	for _, attempt := range batch.attempts {
@@ -167,7 +167,7 @@
 			p.fail(attempt, &aggregator.AttemptError{
 				Progress: aggregator.NotConnected,
 				Rejected: true,
-				Cause:    errServerDraining,
+				Cause:    errServerUnavailable,
 			})
 		case listed.Addr != batch.addr || !listed.Started.Equal(batch.serverStarted):
 			p.fail(attempt, &aggregator.AttemptError{
@@ -184,7 +184,7 @@
 	batch.attempts = sendable
 }
 
-// handleWriteFinished takes how far a call was written.
+// handleWriteFinished records how much of a call was written.
 func (p *Pool) handleWriteFinished(m writeFinished) {
 	if m.result == tcp.WriteComplete {
 		p.Stats.Written += uint64(len(m.attempts))
@@ -193,7 +193,7 @@
 		p.handleWritten(a, m.result)
 	}
 	if m.result == tcp.WriteUncertain { // the transport is closing
-		p.closeConn(m.conn, errBrokenInFrame)
+		p.closeConn(m.conn, errBrokenDuringWrite)
 	}
 }
 
@@ -202,35 +202,36 @@
 		return
 	}
 	switch {
-	case result == tcp.WriteNone: // the server received none of it: it never ran
+	case result == tcp.WriteNone: // the server received no byte of it, so it did not run
 		p.fail(attempt, &aggregator.AttemptError{
 			Progress: aggregator.NotConnected,
 			Canceled: attempt.canceled,
-			Cause:    errBrokenBeforeFrame,
+			Cause:    errBrokenBeforeWrite,
 		})
-	case result == tcp.WriteExpired: // it never ran either
+	case result == tcp.WriteExpired: // no byte of it was written, so it did not run
 		p.fail(attempt, &aggregator.AttemptError{
 			Progress: aggregator.NotConnected,
 			Canceled: true,
 			Cause:    errWriteExpired,
 		})
-	case attempt.conn.state == connClosed: // the end of the frame may have left: it may have run
+	case attempt.conn.state == connClosed: // the complete frame may have been sent, so it may have run
 		p.fail(attempt, &aggregator.AttemptError{
 			Progress:      aggregator.Written,
 			Canceled:      attempt.canceled,
 			CorruptStream: attempt.conn.corrupt,
-			Cause:         errBrokenInFrame,
+			Cause:         errBrokenDuringWrite,
 		})
 	default:
 		attempt.state = stateInFlight
 	}
 }
 
-// Cancel gives an attempt up. It ends once its server has been notified, as far as that can be known. mayRetry says that
-// the part may be sent again. Then a cancel frame that was written is not enough on a connection on which nothing was
-// received since the call was written: behind a network partition neither frame has arrived, or just the first, or both
-// will when the partition ends. Such a connection is closed, and what it has not sent yet is discarded; if other parts are
-// in flight on it, a probe behind the cancel frame shows whether it has to be.
+// Cancel cancels an attempt, which ends once its server has been notified, as far as that can be determined. mayRetry
+// reports that the part may be sent again. A written cancel frame then does not suffice on a connection on which nothing was
+// received since the call was written: during a network partition the server may have received neither frame, or only the
+// call, or may receive both when the partition ends. Such a connection is closed and its unsent bytes are discarded. If
+// other parts are in flight on it, a probe is sent behind the cancel frame, and the connection is closed only if that is
+// not answered in time.
 func (p *Pool) Cancel(now time.Time, id aggregator.AttemptID, mayRetry bool) {
 	attempt := p.attempts[id]
 	if attempt == nil || attempt.canceled {
@@ -242,7 +243,7 @@
 		return
 	}
 	conn := attempt.conn
-	if conn.isClosed() { // it ends with its connection
+	if conn.isClosed() { // the attempt ends when its socket is closed
 		return
 	}
 	attempt.unconfirmed = mayRetry && !conn.lastReceived.After(attempt.writtenAt)
@@ -265,7 +266,7 @@
 	conn.transport.Write(frame, func(tcp.WriteResult) { p.mailbox.Put(cancelWritten{attempt: attempt}) })
 }
 
-// cancelQueued ends an attempt that waits for a connection.
+// cancelQueued ends a canceled attempt that waits for a connection.
 func (p *Pool) cancelQueued(canceled *attempt) {
 	h := canceled.host
 	for _, b := range h.waiting {
@@ -275,15 +276,15 @@
 	p.fail(canceled, &aggregator.AttemptError{Progress: aggregator.NotConnected, Canceled: true})
 }
 
-// handleCancelWritten ends a canceled attempt, unless a probe has yet to confirm that its server knows. The cancel frame was
-// written, or the connection is closed: either way the server has canceled it, or soon will.
+// handleCancelWritten ends a canceled attempt, unless a probe has yet to confirm that its server has read the cancel frame.
+// The frame was written, or the connection is closed: either makes the server cancel the attempt.
 func (p *Pool) handleCancelWritten(now time.Time, attempt *attempt) {
 	conn := attempt.conn
 	if p.attempts[attempt.call.Attempt] != attempt || conn.state == connClosing {
 		return
 	}
-	// Guards against a machine that vanished: its connections stay open and nothing comes on them, and whatever is written
-	// on them may have run for all that is known. A new connection shows whether it is there.
+	// Guards against an unreachable machine: its connections stay open and receive nothing, and every call written on them
+	// counts as one that may have run. Dialing a new connection shows whether the machine is reachable.
 	nothingReceived := conn.lastReceived.Before(attempt.writtenAt)
 	if nothingReceived && now.Sub(attempt.writtenAt) > p.limits.UnresponsiveAfter {
 		conn.unresponsive = true
@@ -293,7 +294,7 @@
 	}
 }
 
-// endCanceled ends an attempt whose server has been notified that it is canceled.
+// endCanceled ends an attempt whose server has been notified of the cancellation.
 func (p *Pool) endCanceled(now time.Time, attempt *attempt) {
 	attempt.conn.canceledAt[attempt.call.Name] = now
 	p.fail(attempt, &aggregator.AttemptError{Progress: aggregator.Written, Canceled: true})
@@ -304,7 +305,7 @@
 	p.end(attempt, aggregator.AttemptEnded{Err: err})
 }
 
-// end ends an attempt, unless it has ended. ended says how, but for the attempt's id.
+// end ends an attempt, unless it has ended already. ended is the event to emit; its Attempt field is set here.
 func (p *Pool) end(attempt *attempt, ended aggregator.AttemptEnded) {
 	if p.attempts[attempt.call.Attempt] != attempt {
 		return
--- a/internal/backend/leaf/conn.go
+++ b/internal/backend/leaf/conn.go
@@ -14,35 +14,35 @@
 type Transport interface {
 	// Write queues b. done, which may be nil, is called with how far b was written.
 	Write(b []byte, done func(tcp.WriteResult))
-	// WriteLate is Write for bytes that are made when their turn comes, or are of no use any more by then.
+	// WriteLate is Write for bytes that are built right before they are written, and dropped if they have expired by then.
 	WriteLate(write tcp.LateWrite, done func(tcp.WriteResult))
 	// Close closes the connection.
 	Close(cause error)
-	// Abort closes the connection and discards what is not sent yet; done is called once the socket is closed.
+	// Abort closes the connection and discards its unsent bytes; done is called once the socket is closed.
 	Abort(cause error, done func())
 }
 
-// DialFunc opens a connection whose bytes go to the handler. It blocks for at most timeout, so it is never called on the
-// loop.
+// DialFunc opens a connection whose received bytes are passed to the handler. It blocks for at most timeout, so it is never
+// called on the loop.
 type DialFunc func(addr string, timeout time.Duration, handler func(*tcp.Conn) tcp.Handler) (Transport, error)
 
-// DialTCP is the DialFunc of the network.
+// DialTCP is the DialFunc for TCP.
 func DialTCP(addr string, timeout time.Duration, handler func(*tcp.Conn) tcp.Handler) (Transport, error) {
 	c, err := tcp.Dial(addr, timeout, handler)
 	if err != nil {
-		return nil, err // not c: the interface would not be nil
+		return nil, err // a nil *tcp.Conn in a Transport would not equal nil
 	}
 	return c, nil
 }
 
-// connState is how far a connection has come; it only ever goes forward.
+// connState is the state of a connection; it never goes back to an earlier one.
 type connState int
 
 const (
 	connDialing connState = iota // no socket yet
 	connOpen
-	connClosing // nothing more goes out on it, and what is in flight on it has not ended yet
-	connClosed  // its socket is closed, and what was in flight on it has ended, or does when its write is accounted for
+	connClosing // nothing more is written on it; the attempts in flight on it have not ended yet
+	connClosed  // its socket is closed; the attempts in flight on it have ended, or end when their write result arrives
 )
 
 func (s connState) String() string {
@@ -59,34 +59,34 @@
 	return fmt.Sprintf("connState(%d)", int(s))
 }
 
-// conn is one connection to a server, from its dial on.
+// conn is one connection to a server; it exists from the dial on.
 type conn struct {
 	host       *host
 	addr       string
 	transport  Transport // nil until it is open
 	state      connState
-	closeCause error                // why the pool aborted it; nil if it did not
-	streams    map[string]*attempt  // in flight, by the names of their parts
-	probes     []*probe             // that were written and not answered, in the order of their answers
-	canceledAt map[string]time.Time // when attempts ended whose answers may still come, by the names of their parts
+	closeCause error                // why the pool aborted it; nil: it did not
+	streams    map[string]*attempt  // in flight, by part name
+	probes     []*probe             // written and not answered, in the order in which their answers arrive
+	canceledAt map[string]time.Time // when attempts ended whose answers may still arrive, by part name
 
-	lastUsed     time.Time // the last time that the server surely counts as use
-	lastReceived time.Time // the last time that the server sent anything
-	partialSince time.Time // when a frame began that is not complete; zero: none
-	lastAnswered string    // the part that was answered last
+	lastUsed     time.Time // the last activity that the server's idle timer is certain to count
+	lastReceived time.Time // when the server last sent a complete frame
+	partialSince time.Time // when the first bytes of an incomplete frame arrived; zero: none
+	lastAnswered string    // the name of the part answered last
 
-	unresponsive bool // its machine may have vanished: nothing new goes out on it until something is received
-	draining     bool // nothing new goes out on it, and it is closed once nothing is in flight
-	corrupt      bool // it was closed because of what came on it
+	unresponsive bool // its machine may be unreachable: no new call or load probe is written until a frame is received
+	draining     bool // no new call or load probe is written, and it is closed once no attempt is in flight
+	corrupt      bool // it was closed because of bytes received on it
 }
 
-// isClosed reports whether nothing more goes out on the connection.
+// isClosed reports whether the connection is closing or closed: nothing more is written on it.
 func (c *conn) isClosed() bool { return c.state >= connClosing }
 
 // isIdle reports whether the connection is open and nothing is in flight on it.
 func (c *conn) isIdle() bool { return c.state == connOpen && len(c.streams) == 0 && len(c.probes) == 0 }
 
-// allCanceled reports whether all attempts in flight on the connection were canceled.
+// allCanceled reports whether every attempt in flight on the connection is canceled.
 func (c *conn) allCanceled() bool {
 	for _, a := range c.streams {
 		if !a.canceled {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// namesInFlight returns the names of the parts whose calls were written completely, in their order: nothing may depend on
-// the order of a map.
+// namesInFlight returns the names of the parts whose calls were written completely, sorted: nothing may depend on the
+// iteration order of a map.
 func (c *conn) namesInFlight() []string {
 	var names []string
 	for name, a := range c.streams {
@@ -109,22 +109,22 @@
 	return names
 }
 
-// awaitsProbe reports whether the core waits for the answer to a probe on the connection.
+// awaitsProbe reports whether the answer to a probe on the connection is awaited: one that is overdue is not.
 func (c *conn) awaitsProbe() bool {
 	return slices.ContainsFunc(c.probes, func(probe *probe) bool { return !probe.ended })
 }
 
-// stale reports whether the server may close an idle connection by the time that a frame arrives.
+// stale reports whether the server may have closed a connection for idleness by the time a frame written now arrives.
 func (p *Pool) stale(now time.Time, c *conn) bool {
 	return len(c.streams) == 0 && p.limits.IdleTimeout > 0 && now.Sub(c.lastUsed) > p.maxIdle()
 }
 
-// maxIdle is how long an idle connection is used for new calls.
+// maxIdle is how long an idle connection remains usable for new calls.
 func (p *Pool) maxIdle() time.Duration {
 	return max(p.limits.IdleTimeout/2, p.limits.IdleTimeout-idleMargin)
 }
 
-// connect starts to dial a server. If that is not possible now, the dial fails in a later turn.
+// connect starts dialing a server. If no connection may be opened, a failed dial is reported in a later turn.
 func (p *Pool) connect(now time.Time, host *host, addr string) {
 	c := &conn{
 		host:       host,
@@ -143,7 +143,7 @@
 	host.conns = append(host.conns, c)
 }
 
-// reserveConn reports whether there may be one more connection. At the limit it closes an idle one for it.
+// reserveConn reports whether one more connection may be opened. At the limit it closes an idle one to make room.
 func (p *Pool) reserveConn() bool {
 	return p.connCount < p.limits.MaxConnections || p.evictIdle()
 }
@@ -166,14 +166,14 @@
 	return true
 }
 
-// handleDialResult sends what waits for a connection, or ends it if there is none to come.
+// handleDialResult sends the batches and probes that wait for a connection, or ends them if no other dial is under way.
 func (p *Pool) handleDialResult(now time.Time, result dialResult) {
 	conn := result.conn
 	if result.err != nil {
 		p.Stats.DialsFailed++
 		p.removeConn(conn)
 		conn.state = connClosed
-		// What waits is not dialed for again here: the decisions may know a better server.
+		// No new dial is started here: the balancer may choose a better server for a retry.
 		if !conn.host.isDialing() {
 			p.failWaiting(now, conn.host, result.err)
 		}
@@ -182,7 +182,7 @@
 	if conn.isClosed() { // its socket was closed before this message
 		conn.transport = result.transport
 		result.transport.Close(nil)
-		p.failWaiting(now, conn.host, errBrokenAtOnce)
+		p.failWaiting(now, conn.host, errClosedBeforeUse)
 		return
 	}
 	conn.transport = result.transport
@@ -194,7 +194,7 @@
 	for _, batch := range waiting {
 		p.endUnsendable(now, batch, listed)
 		if len(batch.attempts) > 0 {
-			p.place(now, batch)
+			p.dispatch(now, batch)
 		}
 	}
 	for _, probe := range probes {
@@ -204,7 +204,7 @@
 	}
 }
 
-// failWaiting ends all that waits for a connection to a server: none of it was written.
+// failWaiting ends all batches and probes that wait for a connection to a server: none of them was written.
 func (p *Pool) failWaiting(now time.Time, host *host, cause error) {
 	waiting, probes := host.takeWaiting()
 	for _, batch := range waiting {
@@ -217,8 +217,8 @@
 	}
 }
 
-// closeConn closes a connection. What is in flight on it ends once its socket is closed, and no sooner: a retry sent before
-// that may reach its server before this connection's server sees the end, and run beside it.
+// closeConn closes a connection. The attempts in flight on it end once its socket is closed, and no sooner: a retry sent
+// before that could reach its server before this connection's server sees the close, and both attempts would run.
 func (p *Pool) closeConn(conn *conn, cause error) {
 	switch {
 	case conn.isClosed():
@@ -234,8 +234,8 @@
 	}
 }
 
-// closeCorrupt closes a connection on which something came that cannot be parsed. The server has received what is in
-// flight on it, so that may have run.
+// closeCorrupt closes a connection on which invalid or unexpected bytes were received. The server may have run the attempts
+// in flight on it.
 func (p *Pool) closeCorrupt(c *conn, cause error) {
 	if c.isClosed() {
 		return
@@ -245,8 +245,8 @@
 	p.closeConn(c, cause)
 }
 
-// handleClosed takes the end of a connection, unless the pool itself has closed it: then what was in flight on it ends with
-// connectionAborted.
+// handleClosed handles the close of a connection, unless the pool itself is closing it: then the attempts in flight on it
+// end with connectionAborted.
 func (p *Pool) handleClosed(m connectionClosed) {
 	c := m.conn
 	if c.isClosed() {
@@ -259,7 +259,7 @@
 	p.connLost(c, m.err)
 }
 
-// connLost ends a connection whose socket is closed, and all that was in flight on it.
+// connLost marks a connection whose socket is closed as closed, and ends everything in flight on it.
 func (p *Pool) connLost(c *conn, cause error) {
 	if c.isClosed() {
 		return
@@ -271,7 +271,7 @@
 	p.endStreams(c, cause)
 }
 
-// removeConn takes a connection out of its host's list: nothing more goes out on it.
+// removeConn removes a connection from its host's list: nothing more is written on it.
 func (p *Pool) removeConn(c *conn) {
 	if c.isClosed() {
 		return
@@ -281,12 +281,12 @@
 	c.host.conns = slices.DeleteFunc(c.host.conns, func(other *conn) bool { return other == c })
 }
 
-// endStreams ends all that was in flight on a connection whose socket is closed. Attempts whose write is not accounted for
-// yet end when it is: only then is it known whether they can have run.
+// endStreams ends everything in flight on a connection whose socket is closed. Attempts whose write result has not arrived
+// yet end when it does: it determines whether they may have run.
 func (p *Pool) endStreams(conn *conn, cause error) {
 	conn.state = connClosed
-	// If the pool closed it as unresponsive, the other attempts in flight on it were canceled with the one that it was
-	// closed for.
+	// If the pool closed the connection as unresponsive, it canceled the other attempts in flight on it along with the one
+	// whose cancellation caused the close.
 	closedAsUnresponsive := conn.closeCause != nil && !conn.corrupt
 	for _, name := range conn.namesInFlight() {
 		attempt := conn.streams[name]
--- a/internal/backend/leaf/crossings_test.go
+++ b/internal/backend/leaf/crossings_test.go
@@ -8,12 +8,12 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// The tests of this file force two events to cross, on real connections: see docs/crossings.md.
+// The tests of this file force two racing events into a fixed order, on real connections: see docs/crossings.md.
 
-// A part is canceled on a connection on which its server has sent nothing: behind a network partition the cancel frame would
-// be as lost as the call, and both would arrive when it ends. The attempt ends only when the connection is closed, and by a
-// reset: what the system still holds is discarded. Before, it ended with the cancel frame written, and the part was retried
-// while its first attempt counted as in flight.
+// A part is canceled on a connection on which its server has sent nothing. During a network partition the cancel frame
+// would be delayed like the call, and both would arrive when the partition ends. So the attempt ends only when the connection
+// is closed, by a reset, which discards the unsent bytes. Guards against ending the attempt once the cancel frame is written:
+// the part was then retried while its first attempt was still in flight.
 func TestPool_CancelOnUnresponsiveConnection(t *testing.T) {
 	s := newLeafServer(t)
 	gate := newAbortGate()
@@ -33,12 +33,13 @@
 	}
 }
 
-// Where another part is in flight on the connection, a probe behind the cancel frame has to be answered first: its answer
-// shows that the server has read that. Without one the connection is closed with all that is in flight on it.
+// If another part is in flight on the connection, the canceled attempt ends once the probe behind its cancel frame is
+// answered, which shows that the server has read that frame. If no answer arrives in time, the connection is closed, and
+// everything in flight on it ends.
 func TestPool_CancelBesideAnotherPart(t *testing.T) {
 	start := func(t *testing.T) (b *loopback, c leafConn, first, second aggregator.AttemptID) {
 		s := newLeafServer(t)
-		b, first = newSentLoopback(t, s, dialNet)
+		b, first = newSentLoopback(t, s, dialUntimed)
 		c = s.accept()
 		second = b.sendWritten()
 		c.expectFrame(frameCall, "q.1 ")
@@ -48,7 +49,7 @@
 		c.expectFrame(frameCancel, "q.1")
 		c.expectFrame(frameProbe, "")
 		if len(b.ended) != 0 {
-			t.Fatalf("ended before its server is known to know: %+v", b.ended)
+			t.Fatalf("ended before the server confirmed the cancel frame: %+v", b.ended)
 		}
 		return b, c, first, second
 	}
@@ -81,10 +82,10 @@
 	})
 }
 
-// An answer that crosses the cancel frame serves the part.
+// An answer that the server sent before it read the cancel frame is accepted as the part's answer.
 func TestPool_AnswerCrossesCancel(t *testing.T) {
 	s := newLeafServer(t)
-	b := newLoopback(t, dialNet)
+	b := newLoopback(t, dialUntimed)
 	b.addr = s.addr()
 	first, other := b.send(time.Time{}), b.send(time.Time{})
 	b.handleUntil(isDialResult)
@@ -104,8 +105,8 @@
 	}
 }
 
-// A connection is closed for what came on it: what was in flight ends when it is closed, not when that is decided. Before, a
-// part could be retried, and arrive, while the connection of its first attempt was still open.
+// A connection is closed because of invalid bytes: the attempts in flight on it end when its socket is closed, not when the
+// close begins. Guards against a retry that arrives while the connection of the first attempt is still open.
 func TestPool_PartsEndAfterConnectionIsClosed(t *testing.T) {
 	s := newLeafServer(t)
 	gate := newAbortGate()
@@ -120,8 +121,8 @@
 	}
 }
 
-// A server moves to another address while parts wait for a connection to it. What was meant for the one address never goes
-// to the other, whichever comes up first, and nothing goes to where the server is no more: another may live there.
+// A server moves to another address while parts wait for a connection to it. Parts for one address are never sent to the
+// other, whichever dial succeeds first, and nothing is sent to the old address, where another server may listen.
 func TestPool_ServerMovesWhileDialing(t *testing.T) {
 	for name, oldFirst := range map[string]bool{
 		"the old address comes up first": true,
@@ -163,13 +164,13 @@
 	}
 }
 
-// The server drains or restarts, the class's window for retries or the part's time ends, or the part is canceled, while it
-// waits for its connection: when that is open nothing goes out on it, and the part never ran.
+// While a part waits for its connection, the server drains or restarts, the part's retry window or deadline expires, or the
+// part is canceled: it is not sent when the connection opens, and its attempt ends as one that did not run.
 func TestPool_ConditionsChangeWhileDialing(t *testing.T) {
 	for name, c := range map[string]struct {
-		window   time.Duration // in which the part may be written; 0: any
+		window   time.Duration // within which the part may be written; 0: unlimited
 		change   func(*loopback, aggregator.AttemptID)
-		rejected bool // else it ends as canceled
+		rejected bool // the attempt ends as rejected; false: as canceled
 	}{
 		"drain": {
 			change:   func(b *loopback, _ aggregator.AttemptID) { b.available = false },
@@ -207,28 +208,28 @@
 			if e.Progress != aggregator.NotConnected || e.Rejected != c.rejected || e.Canceled == c.rejected {
 				t.Errorf("%+v", e)
 			}
-			// The connection itself is good, and is kept until it has been idle.
+			// The connection itself is usable, and is retained until its idle timeout.
 			if b.pool.connCount != 1 {
 				t.Errorf("%d connections", b.pool.connCount)
 			}
 			b.now = b.now.Add(12 * time.Second)
 			b.sweep()
 			if b.pool.connCount != 0 {
-				t.Errorf("%d connections after their idle time", b.pool.connCount)
+				t.Errorf("%d connections after the idle timeout", b.pool.connCount)
 			}
 			s.accept().expectNoBytes()
 		})
 	}
 }
 
-// The server closes an idle connection, and the part that is sent on it at that moment knows of it only afterwards. Whatever
-// the write came to, a part that the server read is never said not to have run.
+// The server closes an idle connection, and a part is sent on it before the pool has handled the close. An attempt that the
+// server may have read must not be reported as one that did not run.
 func TestPool_ReuseCrossesServerClose(t *testing.T) {
 	s := newLeafServer(t)
 	release, arrived := make(chan struct{}), make(chan struct{})
 	type newHandler = func(*tcp.Conn) tcp.Handler
 	b := newLoopback(t, func(addr string, timeout time.Duration, handler newHandler) (Transport, error) {
-		return dialNet(addr, timeout, func(c *tcp.Conn) tcp.Handler {
+		return dialUntimed(addr, timeout, func(c *tcp.Conn) tcp.Handler {
 			return gatedHandler{handler(c), arrived, release}
 		})
 	})
@@ -241,12 +242,12 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	<-arrived // the end is known to the transport, and not to the pool
+	<-arrived // the transport has noticed the close, the pool has not handled it
 	second := b.sendWritten()
 	close(release)
 	b.handleUntil(isConnectionClosed)
 	if e := b.attemptError(1, second); e.Canceled || e.Progress != aggregator.NotConnected {
-		t.Errorf("%+v", e) // the transport knew, so that no byte left
+		t.Errorf("%+v", e) // the transport had noticed the close, so it wrote no byte
 	}
 	if b.pool.connCount != 0 {
 		t.Errorf("%d connections", b.pool.connCount)
--- a/internal/backend/leaf/frame.go
+++ b/internal/backend/leaf/frame.go
@@ -18,18 +18,18 @@
 	frameProbe   = '3' // either direction: a probe, and its answer
 	frameLoad    = '4' // either direction: a probe for the server's load, and its answer
 	frameAnswer  = '5' // from a server: the answer to one part
-	frameInvalid = 'X' // from a server: it could not use a frame
+	frameInvalid = 'X' // from a server: it rejected a frame as invalid
 )
 
-// Sizes of a frame's fields, in bytes.
+// Sizes of the fields of a frame's prefix, in bytes.
 const (
-	lengthLen = 4 // the length of what follows it, big-endian
+	lengthLen = 4 // number of bytes that follow it, big-endian
 	typeLen   = 1
 )
 
 const (
-	// maxFrameLen is the longest frame taken from a leaf server; a line and a value are far shorter. Guards memory, and the
-	// other parts on the connection, against a corrupt length: the bytes that it announces never come.
+	// maxFrameLen is the longest frame accepted from a leaf server; an answer's line and value are far shorter. Guards
+	// memory and the other parts on the connection against a corrupt length, whose announced bytes never arrive.
 	maxFrameLen = 4 << 10
 	// maxAnswerLineLen is the longest first line of an answer.
 	maxAnswerLineLen = 1 << 10
@@ -37,7 +37,7 @@
 	valueLen = 16
 )
 
-// Frame is one message of the protocol: a type, and a payload whose form depends on it.
+// Frame is one message of the leaf protocol: a type, and a payload whose format depends on the type.
 type Frame struct {
 	Type    byte
 	Payload []byte
@@ -49,19 +49,19 @@
 	return append(append(b, frameType), payload...)
 }
 
-// Parser reads frames out of a stream of bytes, however that is divided. The zero value is ready for use.
+// Parser decodes frames from a stream of bytes that is fed in pieces of any size. The zero value is ready for use.
 type Parser struct {
 	buf []byte
 	err error
 }
 
-// Feed adds bytes to what Next reads; it keeps a copy.
+// Feed appends a copy of b to the bytes that Next decodes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
 // Partial reports whether a frame has begun and is not complete.
 func (p *Parser) Partial() bool { return len(p.buf) > 0 }
 
-// Next returns the next complete frame; ok is false if more bytes are needed. Its payload is the caller's. An error says
+// Next returns the next complete frame; ok is false if more bytes are needed. The caller owns the payload. An error reports
 // that the stream is corrupt, and is returned by all further calls.
 func (p *Parser) Next() (f Frame, ok bool, err error) {
 	if p.err == nil {
@@ -87,12 +87,12 @@
 	return f, true, nil
 }
 
-// checkPrefix returns what is wrong with the beginning of a frame, as early as its bytes show it. Guards against corrupt
-// answers: whoever waits for the end of one holds up everything else in flight on the connection.
+// checkPrefix returns an error for an invalid beginning of a frame, as soon as the bytes received show it. Guards against
+// corrupt answers: waiting for the end of one would block everything else in flight on the connection.
 func checkPrefix(prefix []byte) error {
 	for i, highest := range []byte{0, 0, maxFrameLen >> 8} {
 		if i < len(prefix) && prefix[i] > highest {
-			return fmt.Errorf("a frame's length begins with % x", prefix[:i+1])
+			return fmt.Errorf("frame length begins with bytes % x, the longest frame is %d bytes", prefix[:i+1], maxFrameLen)
 		}
 	}
 	if len(prefix) < lengthLen {
@@ -100,7 +100,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(prefix))
 	if n < typeLen || n > maxFrameLen {
-		return fmt.Errorf("frame of %d bytes", n)
+		return fmt.Errorf("frame length is %d, want %d to %d", n, typeLen, maxFrameLen)
 	}
 	body := prefix[lengthLen:min(len(prefix), lengthLen+n)]
 	if len(body) == 0 {
@@ -112,28 +112,28 @@
 	case frameAnswer:
 		return checkAnswerPrefix(body, n)
 	default:
-		return fmt.Errorf("frame %q", body[0])
+		return fmt.Errorf("unknown frame type %q", body[0])
 	}
 }
 
-// checkAnswerPrefix is checkPrefix for what has come of an answer's type and payload, which together are n bytes long.
+// checkAnswerPrefix is checkPrefix for the bytes received of an answer's type and payload, n bytes long together.
 func checkAnswerPrefix(body []byte, n int) error {
 	end := bytes.IndexByte(body, '\n')
 	switch {
 	case end < 0 && (len(body) == n || len(body) > maxAnswerLineLen), end > maxAnswerLineLen:
-		return fmt.Errorf("an answer's line does not end: %.80q", body)
+		return fmt.Errorf("answer's first line has no end or over %d bytes: %.80q", maxAnswerLineLen, body)
 	case end < 0:
 		return nil
 	}
 	a, err := parseAnswerLine(string(body[typeLen:end]))
 	if size := n - end - 1; err == nil && a.status == statusServed && size != valueLen {
-		err = fmt.Errorf("a value of %d bytes", size)
+		err = fmt.Errorf("answer value of %d bytes, want %d", size, valueLen)
 	}
 	return err
 }
 
-// sendableFrame returns the frame of one call as it is at now; nil if any of its attempts must not begin any more. Those of
-// the others are sent again by whoever decides.
+// sendableFrame returns the frame of one call as of now; nil if any of its attempts has expired or was abandoned. The core
+// decides whether the parts of the other attempts are sent again.
 func sendableFrame(now time.Time, calls []aggregator.OutgoingAttempt) []byte {
 	for _, call := range calls {
 		if call.Expired(now) || call.Abandoned != nil && call.Abandoned(now) {
@@ -143,8 +143,8 @@
 	return callFrame(now, calls)
 }
 
-// callSize is about the length of a call's frame.
-func callSize(calls []aggregator.OutgoingAttempt) int {
+// estimatedCallSize returns the approximate length of a call's frame.
+func estimatedCallSize(calls []aggregator.OutgoingAttempt) int {
 	const optionsSize = 32
 	size := 0
 	for _, call := range calls {
@@ -163,8 +163,8 @@
 	return AppendFrame(nil, frameCall, payload)
 }
 
-// callOptions returns the list of a part's options: the time left in milliseconds, at least 1, and, for a follow-up, the
-// shards that answered the first step and whether those were all.
+// callOptions returns the options of a part: the time to its deadline in milliseconds, at least 1, and, for a follow-up,
+// the shards that answered the first step and whether the first step was complete.
 func callOptions(now time.Time, c aggregator.OutgoingAttempt) string {
 	options := fmt.Sprintf("d=%d", max(1, c.Deadline.Sub(now).Milliseconds()))
 	if !c.FollowUp {
--- a/internal/backend/leaf/frame_test.go
+++ b/internal/backend/leaf/frame_test.go
@@ -10,7 +10,7 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// What is wrong with a frame is found as soon as its bytes show it, without waiting for its end.
+// An invalid frame is rejected as soon as the bytes received show it, without waiting for its end.
 func TestParser_RejectsInvalidPrefix(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty frame":                "\x00\x00\x00\x00",
@@ -44,7 +44,7 @@
 	}
 }
 
-// An answer whose report cannot be parsed, or is missing, is good, and says nothing of the queue.
+// An answer whose report is missing or cannot be parsed is valid, and has no report.
 func TestParseAnswer_IgnoresInvalidReport(t *testing.T) {
 	for _, report := range []string{"", " ", " \xff\xfe queue = none", " queue=-4", " queue=1e300"} {
 		a, err := parseAnswer([]byte("q.0 S 1" + report + "\n" + validValue))
@@ -54,7 +54,7 @@
 	}
 }
 
-// Reports name their values as the settings do, or as the protocol's page does; both must reach the decisions.
+// Reports name their values as the settings or as the protocol's specification do; both namings are parsed.
 func TestParseReport_BothNamings(t *testing.T) {
 	for _, text := range []string{"pending=2.5,busy_reqs=7,cpu_share=0.61", "queue=2.5,inflight=7,util=0.61,else=1"} {
 		if r := parseReport(text); r == nil || *r != (balance.LoadReport{Queue: 2.5, InFlight: 7, Utilization: 0.61}) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// However a stream is divided, the same frames come of it.
+// The frames decoded from a stream do not depend on how it is divided into reads.
 func FuzzParser(f *testing.F) {
 	f.Add(AppendFrame(AppendFrame(nil, '5', []byte("q.1 S 1 -\nx")), '4', []byte("-")), 3, 9)
 	f.Add([]byte("\x00\x00\x00\x01\x35\xff\xff\xff\xff"), 1, 6)
@@ -79,7 +79,7 @@
 	})
 }
 
-// parseDivided feeds b to a parser in pieces that end at cuts, and prints the frames that come of it.
+// parseDivided feeds b to a parser in pieces that end at cuts, and prints the decoded frames.
 func parseDivided(b []byte, cuts ...int) string {
 	var p Parser
 	printed, from := "", 0
@@ -102,8 +102,8 @@
 	return printed
 }
 
-// The time that a call tells its server is what is left when it is written; a call that must not begin any more has no
-// frame, and none of the parts that share it goes out.
+// The time to the deadline that a call states is computed when the call is written. If any part of a call is expired or
+// abandoned by then, the call has no frame, and none of its parts is sent.
 func TestSendableFrame(t *testing.T) {
 	deadline := testStart.Add(time.Second)
 	good := aggregator.OutgoingAttempt{Name: "q.1", Shard: 1, Deadline: deadline, Payload: "x"}
--- a/internal/backend/leaf/harness_test.go
+++ b/internal/backend/leaf/harness_test.go
@@ -13,60 +13,61 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// validValue is a value in the form of a leaf server's.
+// validValue is a value in the form that leaf servers produce.
 const validValue = "5be2a07c19f04d63"
 
-// harness drives a pool by hand: it is the mailbox, the dialer, the transports and the directory, and it keeps a model of
-// what each attempt may have come to. Its clock begins at 1000 s.
+// harness drives a pool step by step: it replaces the mailbox, the dialer, the transports and the directory, and tracks in
+// a model which results of each attempt are possible. Its clock starts at testStart, 1000 s.
 type harness struct {
 	t          *testing.T
 	pool       *Pool
 	now        time.Time
 	mailbox    []aggregator.Message
-	dials      []*conn // not finished
+	dials      []*conn // in progress
 	transports []*fakeTransport
-	draining   bool // the server is
+	draining   bool // the server is draining
 	sent       []*attemptModel
 }
 
-// attemptModel is what is known of an attempt outside the pool.
+// attemptModel is the state of an attempt as seen from outside the pool.
 type attemptModel struct {
 	id            aggregator.AttemptID
 	name          string
-	transport     *fakeTransport // that its frame was handed to
-	writtenAt     time.Time      // when that was
-	settled       bool           // the transport has said how far it was written
+	transport     *fakeTransport // on which its frame was written
+	writtenAt     time.Time      // when its frame was passed to transport
+	settled       bool           // the transport has reported writeResult
 	writeResult   tcp.WriteResult
 	canceled      bool
-	mayRetry      bool // as it was canceled
-	cancelWritten bool // a cancel frame was handed on
-	confirmed     bool // the server is known to have the attempt, or to have read the cancel frame
-	answer        byte // status of the answer that came on its connection; 0: none
+	mayRetry      bool // argument of Cancel
+	cancelWritten bool // a cancel frame was passed to the transport
+	confirmed     bool // the server is known to have read the call, or the cancel frame
+	answer        byte // status of the answer received on its connection; 0: none
 	endCount      int
 	err           error
 }
 
-// mayHaveRun reports whether bytes of the attempt can have reached the server.
+// mayHaveRun reports whether bytes of the attempt may have reached the server.
 func (a *attemptModel) mayHaveRun() bool {
 	neverLeft := a.settled && (a.writeResult == tcp.WriteNone || a.writeResult == tcp.WriteExpired)
 	return a.transport != nil && !neverLeft
 }
 
-// mayArrive reports whether bytes of the attempt can still reach the server.
+// mayArrive reports whether bytes of the attempt may still reach the server.
 func (a *attemptModel) mayArrive() bool { return a.transport == nil || !a.transport.closed }
 
-// serverNotified reports whether the attempt's server knows that it is canceled, or else its part is not to be retried.
+// serverNotified reports whether the server is notified of the cancellation as reliably as required: if the part may be
+// retried, a written cancel frame does not suffice without a confirmation.
 func (a *attemptModel) serverNotified() bool { return a.cancelWritten && (a.confirmed || !a.mayRetry) }
 
-// fakeTransport keeps what the pool writes until the test settles it.
+// fakeTransport queues the pool's writes until the test completes them with settle.
 type fakeTransport struct {
 	harness      *harness
 	conn         *conn
 	closed       bool
-	abortDone    func() // of an Abort that is not carried out: what went out may still arrive
+	abortDone    func() // callback of a pending Abort, before which written bytes may still arrive; nil: none
 	writes       []func(tcp.WriteResult)
 	writers      []*attemptModel // whose call frames are in writes; nil for other frames
-	unconfirmed  []*attemptModel // whose cancel frames have a probe behind them that is not answered
+	unconfirmed  []*attemptModel // whose cancel frames are followed by an unanswered probe
 	lastReceived time.Time
 }
 
@@ -76,10 +77,10 @@
 		f.harness.t.Fatalf("%q may wait for %v", b, write.Within)
 	}
 	if b == nil {
-		f.harness.t.Fatal("an attempt is handed on that must not begin any more")
+		f.harness.t.Fatal("an expired or abandoned attempt was passed to the transport")
 	}
 	if write.Size < len(b)/2 || write.Size > 2*len(b) {
-		f.harness.t.Fatalf("%q is said to have %d bytes", b, write.Size)
+		f.harness.t.Fatalf("%q has a stated size of %d bytes", b, write.Size)
 	}
 	f.Write(b, done)
 }
@@ -106,7 +107,7 @@
 	f.writes, f.writers = append(f.writes, done), append(f.writers, writer)
 }
 
-// parse returns the frame that is written. A probe behind a cancel frame is noted and left out.
+// parse returns the frame that is written. A probe behind a cancel frame is recorded and left out.
 func (f *fakeTransport) parse(b []byte) Frame {
 	const probe = "\x00\x00\x00\x013"
 	if n := len(b) - len(probe); n > len(probe) && b[4] == frameCancel && string(b[n:]) == probe {
@@ -114,15 +115,15 @@
 		f.unconfirmed = append(f.unconfirmed, f.harness.attemptNamed(string(b[5:])))
 	}
 	if len(b) < 5 || int(binary.BigEndian.Uint32(b)) != len(b)-4 {
-		f.harness.t.Fatalf("a frame %q", b)
+		f.harness.t.Fatalf("not one complete frame: %q", b)
 	}
 	if f.abortDone != nil {
-		f.harness.t.Fatalf("%q goes out on a connection that closes", b)
+		f.harness.t.Fatalf("%q was written on a connection that is closing", b)
 	}
 	return Frame{Type: b[4], Payload: b[5:]}
 }
 
-// checkCall checks that a call may be sent here now, and returns the attempt of its first part.
+// checkCall checks that a call may be sent on this transport now, and returns the attempt of its first part.
 func (f *fakeTransport) checkCall(call Frame) *attemptModel {
 	line, _, _ := strings.Cut(string(call.Payload), "\n")
 	name, _, _ := strings.Cut(line, " ")
@@ -135,7 +136,7 @@
 		f.harness.t.Fatalf("%s was sent on a connection idle for %v", name, idle)
 	}
 	if len(f.conn.streams) > f.harness.pool.limits.MaxStreams {
-		f.harness.t.Fatalf("%d streams", len(f.conn.streams))
+		f.harness.t.Fatalf("%d attempts in flight on one connection, want at most MaxStreams", len(f.conn.streams))
 	}
 	return a
 }
@@ -150,14 +151,14 @@
 	f.abortDone = done
 }
 
-// finishAbort carries out an Abort: the socket is closed from now on.
+// finishAbort completes a pending Abort: the socket is closed from now on.
 func (f *fakeTransport) finishAbort() {
 	if f.abortDone != nil {
 		f.end(tcp.WriteUncertain)
 	}
 }
 
-// settle says how far the oldest write came.
+// settle completes the oldest write with a result.
 func (f *fakeTransport) settle(result tcp.WriteResult) {
 	if len(f.writes) == 0 {
 		return
@@ -170,7 +171,7 @@
 	done(result)
 }
 
-// end closes the socket. first is how far the oldest write came; none of the others began.
+// end closes the socket. first is the result of the oldest write; the others end with WriteNone.
 func (f *fakeTransport) end(first tcp.WriteResult) {
 	if f.closed {
 		return
@@ -204,7 +205,7 @@
 	return aggregator.Server{ID: id, Addr: "x"}
 }
 
-// server is the one server of the harness.
+// server returns the only server of the harness.
 func (h *harness) server() aggregator.Server { return h.Server("s") }
 
 func (h *harness) attemptNamed(name string) *attemptModel {
@@ -228,7 +229,7 @@
 	return a
 }
 
-// sendWritten sends a part on a new connection, and has its frame written.
+// sendWritten sends a part on a new connection, and completes the write of its frame.
 func (h *harness) sendWritten() (*attemptModel, *fakeTransport) {
 	a := h.send()
 	h.finishDial(nil)
@@ -246,7 +247,7 @@
 	h.runTurn()
 }
 
-// finishDial ends the oldest dial: with a new transport, or with an error.
+// finishDial completes the oldest dial: with a new transport, or with an error.
 func (h *harness) finishDial(err error) {
 	if len(h.dials) == 0 {
 		return
@@ -263,7 +264,7 @@
 	h.runTurn()
 }
 
-// answer has the server answer a part on a connection.
+// answer simulates the server's answer to a part on a connection.
 func (h *harness) answer(f *fakeTransport, name string, status byte) {
 	for _, a := range h.sent {
 		if a.name == name && a.transport == f {
@@ -273,13 +274,13 @@
 	h.receive(f, Frame{frameAnswer, fmt.Appendf(nil, "%s %c 7 queue=1\n%s", name, status, validValue)})
 }
 
-// receive has frames come on a connection.
+// receive simulates frames received on a connection.
 func (h *harness) receive(f *fakeTransport, frames ...Frame) {
 	f.lastReceived = h.now
 	h.post(framesReceived{conn: f.conn, frames: frames})
 }
 
-// confirmCancel answers the oldest probe behind a cancel frame.
+// confirmCancel simulates the answer to the oldest probe behind a cancel frame.
 func (h *harness) confirmCancel(f *fakeTransport) {
 	if len(f.unconfirmed) == 0 {
 		return
@@ -295,13 +296,13 @@
 	h.runTurn()
 }
 
-// runTurn lets the pool take all messages and checks each end of an attempt against the model.
+// runTurn passes all messages to the pool and checks each end of an attempt against the model.
 func (h *harness) runTurn() {
 	for len(h.mailbox) > 0 {
 		m := h.mailbox[0]
 		h.mailbox = h.mailbox[1:]
-		events, mine := h.pool.Handle(h.now, m)
-		if !mine {
+		events, handled := h.pool.Handle(h.now, m)
+		if !handled {
 			events = []aggregator.Event{m.(aggregator.Event)}
 		}
 		for _, e := range events {
@@ -320,13 +321,13 @@
 	a.err = e.Err
 	if e.Err == nil {
 		if a.answer != 'S' || e.Value != validValue || e.Score != 7 || e.Report == nil || e.Report.Queue != 1 {
-			h.t.Fatalf("%s is served: %+v", a.name, e)
+			h.t.Fatalf("%s has an unexpected answer: %+v", a.name, e)
 		}
 		return
 	}
 	var failure *aggregator.AttemptError
 	if !errors.As(e.Err, &failure) {
-		h.t.Fatalf("%s: %v says nothing", a.name, e.Err)
+		h.t.Fatalf("%s: %v is not an AttemptError", a.name, e.Err)
 	}
 	if failure.Part != a.name || failure.Server != "s" {
 		h.t.Fatalf("%s: %v names another part or server", a.name, e.Err)
@@ -339,25 +340,25 @@
 		h.t.Fatalf("%s: %v after answer %q", a.name, e, a.answer)
 	}
 	if e.Progress < aggregator.Written && a.mayHaveRun() {
-		h.t.Fatalf("%s is said not to have run: %v", a.name, e)
+		h.t.Fatalf("%s may have run, but is reported as not run: %v", a.name, e)
 	}
 	if e.Canceled && !a.canceled && !h.poolMayCancel(a) {
-		h.t.Fatalf("%s was not canceled: %v", a.name, e)
+		h.t.Fatalf("%s ended as canceled, but was not canceled: %v", a.name, e)
 	}
 	mayStillArrive := a.mayHaveRun() && a.mayArrive()
 	stopped := e.Canceled && a.serverNotified()
 	if e.Progress == aggregator.Written && mayStillArrive && !stopped {
-		h.t.Fatalf("%s ended while it may still arrive: %v", a.name, e)
+		h.t.Fatalf("%s ended while its call may still arrive: %v", a.name, e)
 	}
 }
 
 // poolMayCancel reports whether the pool may cancel an attempt by itself: it was not written in time, its connection is
-// closed, or its deadline is over.
+// closed, or its deadline has expired.
 func (h *harness) poolMayCancel(a *attemptModel) bool {
 	return a.writeResult == tcp.WriteExpired || !a.mayArrive() || !h.now.Before(time.Unix(1005, 0))
 }
 
-// finish breaks all connections: whatever was sent must have ended by then, once.
+// finish breaks all connections and dials, and checks that each attempt has ended exactly once.
 func (h *harness) finish() {
 	h.refuseDials()
 	for _, f := range h.transports {
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -17,16 +17,16 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// loopback is the loop of a pool whose connections are real ones, driven by hand: messages are taken when the test says so,
-// by a clock that the test sets.
+// loopback is the event loop of a pool with real TCP connections. The test decides when messages are handled, and sets the
+// clock.
 type loopback struct {
 	t         *testing.T
 	pool      *Pool
 	now       time.Time
 	mailbox   *aggregator.Mailbox
-	available bool      // the server takes new calls
-	addr      string    // where the server is listed
-	started   time.Time // and as started when
+	available bool      // the server accepts new calls
+	addr      string    // the server's address in the endpoint list
+	started   time.Time // the server's start time in the endpoint list
 	ended     []aggregator.AttemptEnded
 	sentCount int
 }
@@ -50,7 +50,7 @@
 	return b
 }
 
-// newSentLoopback is a loopback that has written one part to a server.
+// newSentLoopback returns a loopback that has written one part to a server.
 func newSentLoopback(t *testing.T, s *leafServer, dial DialFunc) (*loopback, aggregator.AttemptID) {
 	t.Helper()
 	b := newLoopback(t, dial)
@@ -64,7 +64,7 @@
 	return aggregator.Server{ID: id, Addr: b.addr, Started: b.started}
 }
 
-// send sends a part, not to be written later than by, to where the server is listed, and returns its attempt.
+// send sends a part, to be written before by, to the server's listed address, and returns its attempt.
 func (b *loopback) send(by time.Time) aggregator.AttemptID {
 	b.sentCount++
 	id := aggregator.AttemptID{Part: balance.ID(b.sentCount)}
@@ -83,7 +83,7 @@
 	return id
 }
 
-// handleUntil takes messages until it has taken one as wanted, and those that came with it.
+// handleUntil handles messages until one is as wanted, and the others taken from the mailbox along with it.
 func (b *loopback) handleUntil(wanted func(aggregator.Message) bool) {
 	b.t.Helper()
 	for found := false; !found; {
@@ -98,7 +98,7 @@
 	}
 }
 
-// handleUntilEnded takes messages until so many attempts have ended.
+// handleUntilEnded handles messages until count attempts have ended.
 func (b *loopback) handleUntilEnded(count int) {
 	b.t.Helper()
 	for len(b.ended) < count {
@@ -107,8 +107,8 @@
 }
 
 func (b *loopback) handle(m aggregator.Message) {
-	events, mine := b.pool.Handle(b.now, m)
-	if !mine {
+	events, handled := b.pool.Handle(b.now, m)
+	if !handled {
 		events = []aggregator.Event{m.(aggregator.Event)}
 	}
 	for _, e := range events {
@@ -125,7 +125,7 @@
 	}
 }
 
-// attemptError returns how the n-th attempt that ended did; it must be the attempt given.
+// attemptError returns the error of the n-th attempt that ended, which must be the given one.
 func (b *loopback) attemptError(n int, id aggregator.AttemptID) *aggregator.AttemptError {
 	b.t.Helper()
 	if len(b.ended) <= n || b.ended[n].Attempt != id {
@@ -145,36 +145,36 @@
 func isConnectionClosed(m aggregator.Message) bool  { _, ok := m.(connectionClosed); return ok }
 func isConnectionAborted(m aggregator.Message) bool { _, ok := m.(connectionAborted); return ok }
 
-// patience is how long a test waits for the network: a failure, not a verdict.
-const patience = time.Minute
+// networkTimeout is how long a test waits for the network. It bounds a hanging test, and no test expects it to elapse.
+const networkTimeout = time.Minute
 
-// dialNet is DialTCP without the pool's time limits, which run on the machine's clock and not on the test's: on a busy
-// machine they would end attempts that the test expects to be written. It uses the system's own dialing: netpoll's says of
-// one connection in some thousands that its peer has closed it, when nobody has, and a test has no other server to go to.
-func dialNet(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (Transport, error) {
-	conn, err := tcp.DialServerFirst(addr, patience, handler)
+// dialUntimed is DialTCP without the pool's time limits, which use the machine's clock and not the test's: on a busy machine
+// they would end attempts that the test expects to be written. It dials with the net package: netpoll's dialing reports one
+// connection in some thousands as closed by its peer when it is not, and a test has no other server to retry at.
+func dialUntimed(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (Transport, error) {
+	conn, err := tcp.DialServerFirst(addr, networkTimeout, handler)
 	if err != nil {
 		return nil, err
 	}
-	return patientTransport{conn}, nil
+	return untimedTransport{conn}, nil
 }
 
-// testStart is when the clocks of the tests begin.
+// testStart is the start time of the tests' clocks.
 var testStart = time.Unix(1000, 0)
 
-// patientTransport writes whatever the pool writes, however late the machine gets to it: by the clock of the tests no time
-// passes until then. The harness checks the limits that the pool gives.
-type patientTransport struct{ *tcp.Conn }
+// untimedTransport writes whatever the pool writes, however long the machine takes: no time elapses on the tests' clock
+// until then. The harness checks the write delays that the pool sets.
+type untimedTransport struct{ *tcp.Conn }
 
-func (t patientTransport) WriteLate(write tcp.LateWrite, done func(tcp.WriteResult)) {
+func (t untimedTransport) WriteLate(write tcp.LateWrite, done func(tcp.WriteResult)) {
 	t.Conn.WriteLate(tcp.LateWrite{
 		Size:   write.Size,
-		Within: patience,
+		Within: networkTimeout,
 		Bytes:  func(time.Time) []byte { return write.Bytes(testStart) },
 	}, done)
 }
 
-// dialGate dials connections that come up when the test says so.
+// dialGate blocks each dial until the test releases it.
 type dialGate struct{ dials chan gatedDial }
 
 type gatedDial struct {
@@ -186,28 +186,28 @@
 	d := gatedDial{addr, make(chan struct{})}
 	g.dials <- d
 	<-d.release
-	return dialNet(addr, timeout, handler)
+	return dialUntimed(addr, timeout, handler)
 }
 
-// abortGate dials a connection whose Abort waits for the test.
+// abortGate dials a connection whose Abort blocks until the test releases it.
 type abortGate struct{ requested, release chan struct{} }
 
 func newAbortGate() abortGate { return abortGate{make(chan struct{}), make(chan struct{})} }
 
 func (g abortGate) dial(addr string, timeout time.Duration, handler func(*tcp.Conn) tcp.Handler) (Transport, error) {
-	transport, err := dialNet(addr, timeout, handler)
+	transport, err := dialUntimed(addr, timeout, handler)
 	if err != nil {
 		return nil, err
 	}
 	return gatedTransport{transport, g}, nil
 }
 
-// expectAbort waits until the pool aborts its connection, checks that nothing has ended, and lets it be closed.
+// expectAbort waits until the pool aborts its connection, checks that no attempt has ended, and releases the Abort.
 func (g abortGate) expectAbort(b *loopback) {
 	b.t.Helper()
 	<-g.requested
 	if len(b.ended) != 0 {
-		b.t.Fatalf("ended before its connection: %+v", b.ended)
+		b.t.Fatalf("ended before its connection was closed: %+v", b.ended)
 	}
 	close(g.release)
 	b.handleUntil(isConnectionAborted)
@@ -226,7 +226,7 @@
 	}()
 }
 
-// gatedHandler holds back the end of its connection until the test says so.
+// gatedHandler delays the handling of its connection's close until the test releases it.
 type gatedHandler struct {
 	tcp.Handler
 	arrived, release chan struct{}
@@ -250,7 +250,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	t.Cleanup(func() { _ = listener.Close() }) // the test has ended
 	return &leafServer{t, listener}
 }
 
@@ -298,10 +298,10 @@
 	}
 }
 
-// expectNoBytes checks that nothing comes on a connection until it ends: it is closed from here first.
+// expectNoBytes half-closes a connection and checks that nothing is received on it until the pool closes it.
 func (c leafConn) expectNoBytes() {
 	c.t.Helper()
-	_ = c.CloseWrite() // fails where the pool has closed already
+	_ = c.CloseWrite() // fails if the pool has closed it already
 	if frameType, payload, err := c.readFrame(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 		c.t.Errorf("frame %q %q, %v", frameType, payload, err)
 	}
--- a/internal/backend/leaf/messages.go
+++ b/internal/backend/leaf/messages.go
@@ -5,18 +5,18 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// The messages that the pool's other goroutines post to the loop; Pool.Handle takes them.
+// The messages that the pool's other goroutines post to the loop; Pool.Handle handles them.
 type (
-	// dialResult ends a dial: with an open transport, or with an error.
+	// dialResult is the result of a dial: an open transport, or an error.
 	dialResult struct {
 		aggregator.AdapterMessage
 		conn      *conn
 		transport Transport
 		err       error
 	}
-	// framesReceived is what one read brought: complete frames, and then perhaps the beginning of another, or bytes that
-	// cannot be parsed. It is one message, so that nothing is sent on the connection between an answer and invalid bytes
-	// that follow it.
+	// framesReceived is the result of one read: complete frames, possibly followed by the beginning of another (partial) or
+	// by invalid bytes (err). It is one message, so that nothing is sent on the connection between the handling of an answer
+	// and of invalid bytes that follow it.
 	framesReceived struct {
 		aggregator.AdapterMessage
 		conn    *conn
@@ -24,25 +24,25 @@
 		partial bool
 		err     error
 	}
-	// connectionClosed says that a socket is closed, by either side. err is nil if the server closed it in order.
+	// connectionClosed reports that a socket is closed, by either side. err is nil if the server closed it gracefully.
 	connectionClosed struct {
 		aggregator.AdapterMessage
 		conn *conn
 		err  error
 	}
-	// connectionAborted says that Transport.Abort is done: the socket is closed.
+	// connectionAborted reports that Transport.Abort is done: the socket is closed.
 	connectionAborted struct {
 		aggregator.AdapterMessage
 		conn *conn
 	}
-	// writeFinished says how far the frame of a call was written.
+	// writeFinished reports how much of the frame of a call was written.
 	writeFinished struct {
 		aggregator.AdapterMessage
 		conn     *conn
 		attempts []*attempt
 		result   tcp.WriteResult
 	}
-	// cancelWritten says that an attempt's cancel frame was written, or that its connection broke before.
+	// cancelWritten reports that an attempt's cancel frame was written, or that its connection broke before that.
 	cancelWritten struct {
 		aggregator.AdapterMessage
 		attempt *attempt
--- a/internal/backend/leaf/pool_test.go
+++ b/internal/backend/leaf/pool_test.go
@@ -9,11 +9,11 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// fuzzStep is one step of FuzzPool. pick chooses among variants of the step; f and a are a transport and an attempt that it
-// chose, nil if there is none.
+// fuzzStep is one step of FuzzPool. pick selects a variant of the step; f and a are the transport and the attempt that it
+// selects, nil if there is none.
 type fuzzStep func(h *harness, pick int, f *fakeTransport, a *attemptModel)
 
-// fuzzSteps are chosen by the last decimal digit of a byte of the input, and pick is the rest of it.
+// fuzzSteps are indexed by the last decimal digit of an input byte; pick is the byte divided by 10.
 var fuzzSteps = [10]fuzzStep{
 	0: stepSend,
 	1: stepCancel,
@@ -28,7 +28,7 @@
 }
 
 func stepSend(h *harness, _ int, _ *fakeTransport, _ *attemptModel) {
-	if !h.draining { // the decisions send nothing new there
+	if !h.draining { // the core sends no new attempts to a draining server
 		h.send()
 	}
 }
@@ -102,17 +102,17 @@
 
 func stepDrain(h *harness, _ int, _ *fakeTransport, _ *attemptModel) { h.draining = !h.draining }
 
-// Whatever the order of events, each attempt ends once, and as it may have: see harness.checkEnd.
+// Whatever the order of events, each attempt ends exactly once, with a possible result: see harness.checkEnd.
 func FuzzPool(f *testing.F) {
 	f.Add([]byte{0, 2, 4, 6})                         // served
-	f.Add([]byte{0, 0, 0, 2, 2, 4, 4, 4, 5, 4})       // broken under three
-	f.Add([]byte{0, 1, 2, 0, 2, 4, 1, 4, 6, 7})       // canceled before and after
-	f.Add([]byte{0, 2, 4, 6, 8, 8, 8, 8, 8, 8, 0, 0}) // near the idle limit
-	f.Add([]byte{0, 9, 2, 9, 0, 3, 3})                // drains while it connects
+	f.Add([]byte{0, 0, 0, 2, 2, 4, 4, 4, 5, 4})       // connection broken with three parts on it
+	f.Add([]byte{0, 1, 2, 0, 2, 4, 1, 4, 6, 7})       // canceled before and after it was written
+	f.Add([]byte{0, 2, 4, 6, 8, 8, 8, 8, 8, 8, 0, 0}) // near the idle timeout
+	f.Add([]byte{0, 9, 2, 9, 0, 3, 3})                // server drains during the dial
 	f.Add([]byte{0, 2, 15, 0, 2, 10, 0, 26, 4, 6})    // broken before the first byte
-	f.Add([]byte{0, 2, 4, 1, 35, 0, 2})               // canceled where nothing was received
-	f.Add([]byte{0, 0, 2, 4, 4, 1, 4, 37, 11, 37, 8}) // the same beside another part, confirmed and not
-	f.Add([]byte{0, 2, 44, 0, 4, 17, 35})             // written too late; noise
+	f.Add([]byte{0, 2, 4, 1, 35, 0, 2})               // canceled with nothing received
+	f.Add([]byte{0, 0, 2, 4, 4, 1, 4, 37, 11, 37, 8}) // the same with another part in flight, confirmed and not
+	f.Add([]byte{0, 2, 44, 0, 4, 17, 35})             // not written in time; invalid bytes
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		h := newHarness(t)
 		for _, step := range steps[:min(len(steps), 200)] {
@@ -131,7 +131,7 @@
 	})
 }
 
-// A late answer to an attempt that was canceled must not be taken for the part's next attempt.
+// A late answer to a canceled attempt must not be taken for the answer to the part's next attempt.
 func TestPool_LateAnswerIsNotTakenForNextAttempt(t *testing.T) {
 	h := newHarness(t)
 	first, transport := h.sendWritten()
@@ -146,7 +146,7 @@
 	h.pool.Send(h.now, h.server(), []aggregator.OutgoingAttempt{retry})
 	h.runTurn()
 	if len(h.dials) != 1 || len(transport.writes) != 0 {
-		t.Error("the part's next attempt went out on the connection of the one that was canceled")
+		t.Error("the part's next attempt was sent on the connection of the canceled one")
 	}
 }
 
@@ -163,7 +163,7 @@
 			a, transport := h.sendWritten()
 			h.receive(transport, invalid)
 			if a.endCount != 0 || transport.abortDone == nil {
-				t.Errorf("%q: ended %d times before its connection did", invalid.Payload, a.endCount)
+				t.Errorf("%q: ended %d times before its connection was closed", invalid.Payload, a.endCount)
 			}
 			transport.finishAbort()
 			h.runTurn()
@@ -174,7 +174,7 @@
 	}
 }
 
-// What comes behind a good answer does no harm to it, nor to what goes out next.
+// Invalid or unexpected bytes behind a valid answer close the connection, but do not affect that answer or the next part.
 func TestPool_BytesBehindAnswerCloseConnection(t *testing.T) {
 	good := Frame{frameAnswer, []byte("q.0 S 7 queue=1\n" + validValue)}
 	for name, m := range map[string]framesReceived{
@@ -193,13 +193,14 @@
 				t.Errorf("ended %d times, closed %v", a.endCount, transport.closed)
 			}
 			if next := h.send(); next.transport == transport {
-				t.Error("the next part went out on the same connection")
+				t.Error("the next part was sent on the same connection")
 			}
 		})
 	}
 }
 
-// A frame that does not end holds up what is in flight on its connection: that ends soon, and may have run.
+// An incomplete frame blocks the attempts in flight on its connection: after maxPartialFrameAge they end as ones that may
+// have run.
 func TestPool_IncompleteFrameClosesConnection(t *testing.T) {
 	h := newHarness(t)
 	a, transport := h.sendWritten()
@@ -227,13 +228,13 @@
 	}
 }
 
-// A part has a connection of its own while there are few: one corrupt answer must not end the others' attempts.
+// Parts use separate connections while few are open, so that one corrupt answer does not end the attempts of the others.
 func TestPool_PartsSpreadOverConnections(t *testing.T) {
 	h := newHarness(t)
 	h.pool.limits.MaxConnections = 8
 	first := h.send()
 	h.finishDial(nil)
-	second := h.send() // shares the connection, and another is opened
+	second := h.send() // shares the connection, and another is dialed
 	h.finishDial(nil)
 	third := h.send()
 	if first.transport != second.transport || third.transport == first.transport {
@@ -250,7 +251,7 @@
 	}
 }
 
-// Eighty aggregators together must not fill the connections of a server: each opens one, and its parts share that.
+// Eighty aggregators together must not exhaust a server's connection limit: each opens one, which its parts share.
 func TestConnsPerServer_LargeFleetOpensOneConnection(t *testing.T) {
 	if few, many := ConnsPerServer(3), ConnsPerServer(80); few != 8 || many != 1 {
 		t.Fatalf("3 aggregators: %d connections each, 80 aggregators: %d", few, many)
@@ -269,7 +270,7 @@
 	}
 }
 
-// A probe whose connection ends is sent again on another: the server may live.
+// A probe whose connection is closed is sent again on another one: its server may still be reachable.
 func TestPool_ProbeIsRetriedWhenConnectionEnds(t *testing.T) {
 	h := newHarness(t)
 	h.send()
@@ -278,7 +279,7 @@
 	h.transports[0].end(tcp.WriteComplete)
 	h.runTurn()
 	h.finishDial(nil)
-	rest := h.mailbox
+	unhandled := h.mailbox
 	h.mailbox = nil
 	answer := framesReceived{
 		conn:   h.transports[len(h.transports)-1].conn,
@@ -286,11 +287,11 @@
 	}
 	events, _ := h.pool.Handle(h.now, answer)
 	if len(events) != 1 || events[0].(aggregator.ProbeEnded).Err != nil {
-		t.Errorf("%+v %+v", rest, events)
+		t.Errorf("%+v %+v", unhandled, events)
 	}
 }
 
-// Answers to probes come in the order of the probes, also where the first ones are overdue.
+// Answers are matched to probes in the order in which these were sent, even if the first ones are overdue.
 func TestPool_ProbeResults(t *testing.T) {
 	h := newHarness(t)
 	var ends []aggregator.ProbeEnded
@@ -304,7 +305,7 @@
 	a, transport := h.sendWritten()
 	h.pool.Probe(h.now, h.server())
 	h.pool.Probe(h.now, h.server())
-	h.now = h.now.Add(time.Second) // both are overdue
+	h.now = h.now.Add(time.Second) // past the deadline of both
 	events, _ := h.pool.Sweep(h.now)
 	collect(events)
 	h.pool.Probe(h.now, h.server())
@@ -320,15 +321,15 @@
 		t.Errorf("%+v", report)
 	}
 	if a.endCount != 0 {
-		t.Error("the attempt ended by a probe")
+		t.Error("a probe answer ended the attempt")
 	}
 }
 
-// A machine that vanished leaves its connections open, and nothing comes on them: the next part must not go out on one.
+// Connections to an unreachable machine stay open and receive nothing: the next part must not be sent on one.
 func TestPool_UnresponsiveConnectionIsNotReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		canceledAfter time.Duration
-		received      bool // a probe was answered before
+		received      bool // a probe was answered before the cancellation
 		mayRetry      bool
 		abandoned     bool
 	}{
--- a/internal/backend/leaf/probe.go
+++ b/internal/backend/leaf/probe.go
@@ -8,38 +8,39 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// probe is a question to a server that it answers at once: for its load, on behalf of the core, or, behind a cancel frame,
-// whether it has read that. Answers come in the order of the probes on a connection.
+// probe is a request that a server answers at once. A load probe asks for the server's load on behalf of the core. A probe
+// sent behind a cancel frame confirms that the server has read that frame. Answers arrive in the order in which the probes
+// were sent on a connection.
 type probe struct {
 	host     *host
-	conn     *conn // nil while it waits for one
+	conn     *conn // nil while it waits for a connection
 	sentAt   time.Time
 	deadline time.Time
-	retried  bool // sent a second time
-	ended    bool // its answer, should it still come, is dropped
-	// confirms, if set, is a canceled attempt: the answer shows that the server has read its cancel frame.
+	retried  bool // sent a second time, on another connection
+	ended    bool // an answer that still arrives is dropped
+	// confirms, if not nil, is a canceled attempt whose cancel frame the server has read once it answers.
 	confirms *attempt
 }
 
-// Probe asks a server for its load. One ProbeEnded event tells what came of it.
+// Probe requests a load report from a server. The result is one ProbeEnded event.
 func (p *Pool) Probe(now time.Time, to aggregator.Server) {
-	p.placeProbe(now, &probe{host: p.host(to.ID), sentAt: now, deadline: p.probeDeadline(now)}, to.Addr)
+	p.dispatchProbe(now, &probe{host: p.host(to.ID), sentAt: now, deadline: p.probeDeadline(now)}, to.Addr)
 }
 
 func (p *Pool) probeDeadline(now time.Time) time.Time {
 	return now.Add(p.limits.ConnectTimeout + timeoutSlack)
 }
 
-// takesProbe reports whether a load probe of the server at addr may go out on the connection.
-func (c *conn) takesProbe(addr string) bool {
+// acceptsProbe reports whether a load probe of the server at addr may be sent on the connection.
+func (c *conn) acceptsProbe(addr string) bool {
 	return c.state == connOpen && !c.unresponsive && !c.draining && c.addr == addr
 }
 
-// placeProbe sends a load probe on an open connection, or lets it wait for one.
-func (p *Pool) placeProbe(now time.Time, probe *probe, addr string) {
+// dispatchProbe sends a load probe on an open connection, or queues it for a new one.
+func (p *Pool) dispatchProbe(now time.Time, probe *probe, addr string) {
 	host := probe.host
 	for _, conn := range host.conns {
-		if conn.takesProbe(addr) && !p.stale(now, conn) {
+		if conn.acceptsProbe(addr) && !p.stale(now, conn) {
 			p.sendLoadProbe(conn, probe)
 			return
 		}
@@ -57,10 +58,10 @@
 	conn.transport.Write(AppendFrame(nil, frameLoad, nil), nil)
 }
 
-// handleProbeAnswer takes the answer to the oldest probe on a connection.
+// handleProbeAnswer handles the answer to the oldest unanswered probe on a connection.
 func (p *Pool) handleProbeAnswer(now time.Time, conn *conn, payload string) error {
 	if len(conn.probes) == 0 {
-		return errUnexpectedProbe
+		return errUnexpectedProbeAnswer
 	}
 	probe := conn.probes[0]
 	conn.probes = conn.probes[1:]
@@ -78,31 +79,31 @@
 	return nil
 }
 
-// awaitsConfirmation reports whether the attempt that a probe confirms has not ended yet.
+// awaitsConfirmation reports whether the canceled attempt of a probe has not ended yet.
 func (p *Pool) awaitsConfirmation(probe *probe) bool {
 	return p.attempts[probe.confirms.call.Attempt] == probe.confirms
 }
 
-// confirmationOverdue reports whether a probe was to confirm by now that a server has read a cancel frame, and did not.
+// confirmationOverdue reports whether a probe behind a cancel frame is still unanswered at its deadline.
 func (p *Pool) confirmationOverdue(now time.Time, probe *probe) bool {
 	return probe.confirms != nil && p.awaitsConfirmation(probe) && !now.Before(probe.deadline)
 }
 
-// endProbeOfClosedConn ends a probe whose connection is closed. A load probe is sent once more: a connection may end while
-// its server lives, and only a new one shows that.
+// endProbeOfClosedConn ends a probe whose connection is closed. A load probe is sent once more, on another connection: a
+// closed connection does not show that its server is unreachable.
 func (p *Pool) endProbeOfClosedConn(conn *conn, probe *probe, cause error) {
 	if probe.confirms != nil {
 		return
 	}
 	if !probe.ended && !probe.retried && p.directory.Available(probe.host.id) {
 		probe.retried = true
-		p.placeProbe(probe.sentAt, probe, conn.addr)
+		p.dispatchProbe(probe.sentAt, probe, conn.addr)
 		return
 	}
 	p.endProbe(probe.sentAt, probe, &aggregator.AttemptError{Progress: aggregator.Written, Cause: cause}, nil)
 }
 
-// endProbe ends a load probe, unless it has ended.
+// endProbe ends a load probe, unless it has ended already.
 func (p *Pool) endProbe(now time.Time, probe *probe, err error, report *balance.LoadReport) {
 	if probe.ended {
 		return
--- a/internal/backend/leaf/receive.go
+++ b/internal/backend/leaf/receive.go
@@ -7,16 +7,16 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// frameReader parses what comes on a connection and posts it to the loop. It is a tcp.Handler.
+// frameReader decodes the bytes received on a connection and posts the frames to the loop. It is a tcp.Handler.
 type frameReader struct {
 	conn    *conn
 	mailbox aggregator.Poster
 	parser  Parser
-	partial bool // as last posted
-	failed  bool // what came cannot be parsed: whatever follows is dropped
+	partial bool // the frame at the end of the last read was incomplete
+	failed  bool // the stream is corrupt: all further bytes are dropped
 }
 
-// Data takes the bytes of one read.
+// Data handles the bytes of one read.
 func (r *frameReader) Data(data []byte) {
 	if r.failed {
 		return
@@ -41,10 +41,10 @@
 	r.partial = received.partial
 }
 
-// Closed takes the end of the connection.
+// Closed handles the close of the connection.
 func (r *frameReader) Closed(err error) { r.mailbox.Put(connectionClosed{conn: r.conn, err: err}) }
 
-// handleFrames takes what one read of a connection brought.
+// handleFrames handles the result of one read of a connection.
 func (p *Pool) handleFrames(now time.Time, received framesReceived) {
 	conn := received.conn
 	for _, frame := range received.frames {
@@ -67,11 +67,11 @@
 	case received.partial:
 		conn.partialSince = now
 	case conn.draining && len(conn.streams) == 0:
-		p.closeConn(conn, errExcessAnswer)
+		p.closeConn(conn, errDuplicateAnswer)
 	}
 }
 
-// handleFrame takes one frame. An error says that the connection cannot be used any more.
+// handleFrame handles one frame. An error means that the connection must be closed.
 func (p *Pool) handleFrame(now time.Time, conn *conn, frame Frame) error {
 	switch frame.Type {
 	case frameAnswer:
@@ -79,7 +79,7 @@
 	case frameLoad, frameProbe:
 		return p.handleProbeAnswer(now, conn, string(frame.Payload))
 	default:
-		return fmt.Errorf("the server could not use a frame: %.80q", frame.Payload)
+		return fmt.Errorf("the server rejected a frame as invalid: %.80q", frame.Payload)
 	}
 }
 
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// handleUnexpectedAnswer takes an answer for a part that is not in flight on the connection. If the attempt was canceled,
-// the answer is late. A second copy of the last answer does no harm, but the connection is not used any more. Any other
-// answer belongs to a part that will never get its own.
+// handleUnexpectedAnswer handles an answer for a part that is not in flight on the connection. If the attempt was canceled,
+// it is a late answer. A duplicate of the last answer is harmless, but the connection accepts no new calls after it. Any
+// other answer was probably meant for a part in flight, which would never be answered.
 func (p *Pool) handleUnexpectedAnswer(conn *conn, name string) error {
 	if _, canceled := conn.canceledAt[name]; canceled {
 		p.Stats.LateAnswers++
@@ -123,5 +123,5 @@
 		conn.draining = true
 		return nil
 	}
-	return fmt.Errorf("an answer for %.80q, which is not in flight", name)
+	return fmt.Errorf("answer for part %.80q, which is not in flight on the connection", name)
 }
--- a/internal/backend/leaf/sweep.go
+++ b/internal/backend/leaf/sweep.go
@@ -7,7 +7,7 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// wakeup is the earliest of some times; zero if there is none.
+// wakeup is the earliest of the times passed to notLaterThan; zero if there was none.
 type wakeup struct{ earliest time.Time }
 
 func (w *wakeup) notLaterThan(t time.Time) {
@@ -16,9 +16,9 @@
 	}
 }
 
-// Sweep ends probes that are overdue and closes connections that are not to be used any more: before the server does for
-// idleness, or because of a frame or a confirmation that does not come. It returns when it has to be called again; zero if
-// nothing is due.
+// Sweep ends overdue probes and closes connections: idle ones before the server closes them, draining ones, and those with
+// an overdue frame or an overdue answer to a probe behind a cancel frame. It returns when it has to be called again; zero if
+// nothing is pending.
 func (p *Pool) Sweep(now time.Time) ([]aggregator.Event, time.Time) {
 	p.handling = true
 	var next wakeup
@@ -38,7 +38,7 @@
 
 func (p *Pool) sweepProbe(now time.Time, probe *probe, next *wakeup) {
 	switch {
-	case probe.confirms != nil: // sweepConn closes the connection of one that is overdue
+	case probe.confirms != nil: // sweepConn closes the connection if the answer is overdue
 		if p.awaitsConfirmation(probe) && now.Before(probe.deadline) {
 			next.notLaterThan(probe.deadline)
 		}
