--- a/internal/backend/serialconn/attempt.go
+++ b/internal/backend/serialconn/attempt.go
@@ -10,18 +10,18 @@
 	"rooktrestle/internal/query"
 )
 
-// attempt is one attempt at a part, from Send until its end was emitted.
+// attempt is one attempt at a part, from Send until its AttemptEnded event is emitted.
 type attempt struct {
 	call      aggregator.OutgoingAttempt
 	server    aggregator.Server
 	conn      *conn
-	progress  aggregator.Progress // as far as is known
-	writeDone bool                // the transport has said how far its request was written
+	progress  aggregator.Progress // an upper bound until the write result arrives
+	writeDone bool                // the transport has reported how much of its request was written
 	canceled  bool
 }
 
-// write sends an attempt on a connection. What may have changed while it waited for the connection is checked again before
-// its first byte: the server may have begun to drain, and the attempt's time may be over.
+// write sends an attempt on a connection. Conditions that may have changed while the attempt waited for the connection are
+// checked again before its first byte: the server may have begun draining, and the attempt may have expired.
 func (p *Pool) write(now time.Time, conn *conn, attempt *attempt) {
 	conn.attempt = attempt
 	attempt.conn = conn
@@ -31,20 +31,20 @@
 		p.release(now, conn)
 		return
 	}
-	attempt.progress = aggregator.Written // until the transport says otherwise
+	attempt.progress = aggregator.Written // until the transport reports that no byte was written
 	conn.lastUsed = now
 	conn.transport.Write(request, func(result tcp.WriteResult) {
 		p.mailbox.Put(writeFinished{attempt: attempt, result: result})
 	})
 }
 
-// request returns the bytes of an attempt, or why it must not be sent.
+// request returns the encoded request of an attempt, or the error with which it ends unsent.
 func (p *Pool) request(now time.Time, attempt *attempt) ([]byte, *aggregator.AttemptError) {
 	if !p.directory.Available(attempt.server.ID) {
 		return nil, &aggregator.AttemptError{
 			Progress: aggregator.NotConnected,
 			Rejected: true,
-			Cause:    errServerDraining,
+			Cause:    errServerUnavailable,
 		}
 	}
 	call := &attempt.call
@@ -53,7 +53,7 @@
 	}
 	var work query.Work
 	if err := json.Unmarshal([]byte(attempt.call.Payload), &work); err != nil {
-		return nil, &aggregator.AttemptError{Progress: aggregator.NotConnected, Cause: fmt.Errorf("payload: %w", err)}
+		return nil, &aggregator.AttemptError{Progress: aggregator.NotConnected, Cause: fmt.Errorf("decode payload: %w", err)}
 	}
 	request, err := p.codec(attempt.server.ID).Request(attempt.call, work)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return request, nil
 }
 
-// handleWritten takes how far an attempt's request was written.
+// handleWritten records how much of an attempt's request was written.
 func (p *Pool) handleWritten(attempt *attempt, result tcp.WriteResult) {
 	attempt.writeDone = true
 	if result == tcp.WriteNone {
@@ -73,7 +73,7 @@
 	}
 }
 
-// failLost ends an attempt whose connection is closed, if it is known how far its request was written; else
+// failLost ends an attempt whose connection is closed, if its write result has arrived or nothing was written; otherwise
 // handleWritten ends it.
 func (p *Pool) failLost(attempt *attempt, cause error) {
 	switch {
@@ -97,7 +97,7 @@
 	p.end(attempt, aggregator.AttemptEnded{Err: err})
 }
 
-// end ends an attempt, unless it has ended. ended says how, but for the attempt's id.
+// end ends an attempt, unless it has ended already. ended is the event to emit; its Attempt field is set here.
 func (p *Pool) end(attempt *attempt, ended aggregator.AttemptEnded) {
 	if p.attempts[attempt.call.Attempt] != attempt {
 		return
--- a/internal/backend/serialconn/codec.go
+++ b/internal/backend/serialconn/codec.go
@@ -8,28 +8,28 @@
 	"rooktrestle/internal/query"
 )
 
-// Codec encodes attempts for one server in its protocol. Its methods are called on the loop, but for those of its parsers.
+// Codec encodes attempts for one server in its protocol. Its methods are called on the loop; those of its parsers are not.
 type Codec interface {
-	// Greeting returns what opens a connection, nil if nothing does. The server answers it with a Reply that has Greeting
-	// set.
+	// Greeting returns the first bytes to send on a connection, nil if the protocol has no greeting. The server's answer to
+	// it is a Reply with Greeting set.
 	Greeting() []byte
-	// Request returns the bytes of one attempt. An error says that the work cannot be expressed in the protocol.
+	// Request returns the encoded request of one attempt. An error means that the protocol cannot express the work.
 	Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error)
 	// Parser returns a parser for one connection.
 	Parser() Parser
 }
 
-// Parser parses a server's answers out of a connection's stream of bytes, off the loop.
+// Parser decodes a server's answers from the byte stream of a connection. It is not called on the loop.
 type Parser interface {
-	// Feed takes bytes and returns the answers that are complete with them. An error says that the stream is corrupt; the
-	// answers returned with it are good.
+	// Feed accepts received bytes and returns the answers that they complete. An error means that the stream is corrupt; the
+	// answers returned with it are valid.
 	Feed(b []byte) ([]Reply, error)
-	// End returns the answer that the end of the stream completes, if there is one.
+	// End returns the answer that is completed by the end of the stream, if there is one.
 	End() []Reply
 }
 
-// MapMismatchError returns the AttemptError of a request for a shard that its server does not hold, if the details of the
-// server's diagnostic say that, and nil if they do not. Such a request did not run.
+// MapMismatchError returns the AttemptError of a request for a shard that its server does not serve, if the details of the
+// server's diagnostic state that mismatch, and nil otherwise. Such a request did not run.
 func MapMismatchError(details string) error {
 	mismatch, epoch, ok := shardmap.ParseMismatch(details)
 	if !ok {
@@ -46,9 +46,9 @@
 
 // Reply is one answer of a server.
 type Reply struct {
-	Greeting bool  // it answers the greeting
-	Err      error // why the attempt, or the greeting, failed; nil: it did not
+	Greeting bool  // it is the answer to the greeting
+	Err      error // why the attempt or the greeting failed; nil: it succeeded
 	Value    string
 	Score    float64
-	Close    bool // the connection serves no further request
+	Close    bool // the server accepts no further request on the connection
 }
--- a/internal/backend/serialconn/conn.go
+++ b/internal/backend/serialconn/conn.go
@@ -11,32 +11,32 @@
 
 // Transport is a connection as the pool uses it; tcp.Conn is one. No method blocks.
 type Transport interface {
-	// Write queues b. done, which may be nil, is called on another goroutine with how far b was written.
+	// Write queues b. done, which may be nil, is called on another goroutine with how much of b was written.
 	Write(b []byte, done func(tcp.WriteResult))
 	// Close closes the connection.
 	Close(cause error)
 }
 
-// conn is one connection to a server, from its dial on.
+// conn is one connection to a server; it exists from the dial on.
 type conn struct {
 	server    balance.Replica
 	addr      string
 	transport Transport // nil until it is connected
-	ready     bool      // connected, and greeted where that is needed; stays set when it is closed
+	ready     bool      // connected, and greeted if the protocol has a greeting; stays set after the close
 	closed    bool
-	attempt   *attempt // that it carries, or was dialed for; nil: none
+	attempt   *attempt // in flight on it, or for which it was dialed; nil: none
 	lastUsed  time.Time
 }
 
-// replyReader parses what comes on a connection and posts it to the loop. It is a tcp.Handler.
+// replyReader decodes the bytes received on a connection and posts the answers to the loop. It is a tcp.Handler.
 type replyReader struct {
 	conn    *conn
 	mailbox aggregator.Poster
 	parser  Parser
-	failed  bool // what came cannot be parsed: whatever follows is dropped
+	failed  bool // the stream is corrupt: all further bytes are dropped
 }
 
-// Data takes the bytes of one read. An answer that cannot be parsed ends the connection.
+// Data handles the bytes of one read. An answer that cannot be parsed closes the connection.
 func (r *replyReader) Data(b []byte) {
 	if r.failed {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// Closed takes the end of the connection.
+// Closed handles the close of the connection.
 func (r *replyReader) Closed(err error) {
 	if !r.failed {
 		for _, reply := range r.parser.End() {
@@ -61,7 +61,7 @@
 	r.mailbox.Put(connectionClosed{conn: r.conn, err: err})
 }
 
-// connect starts to dial a server for an attempt.
+// connect starts dialing a server for an attempt. It ends the attempt if no connection may be opened.
 func (p *Pool) connect(now time.Time, to aggregator.Server, a *attempt) {
 	c := &conn{server: to.ID, addr: to.Addr, attempt: a, lastUsed: now}
 	a.conn = c
@@ -78,7 +78,7 @@
 	p.dial(c, to.Addr, codec)
 }
 
-// handleDialResult greets the server or, if its protocol has no greeting, writes the attempt that the connection is for.
+// handleDialResult sends the greeting or, if the protocol has none, the attempt for which the connection was dialed.
 func (p *Pool) handleDialResult(now time.Time, result dialResult) {
 	conn := result.conn
 	if result.err != nil {
@@ -90,20 +90,20 @@
 		return
 	}
 	conn.transport = result.transport
-	if conn.closed || conn.attempt == nil { // closed at once, or its attempt canceled meanwhile
+	if conn.closed || conn.attempt == nil { // closed right after the dial, or its attempt was canceled during it
 		p.closeConn(conn, errNotNeeded)
 		return
 	}
 	if greeting := p.codec(conn.server).Greeting(); greeting != nil {
 		conn.transport.Write(greeting, nil)
-		p.greeting[conn] = now
+		p.awaitingGreeting[conn] = now
 		return
 	}
 	conn.ready = true
 	p.write(now, conn, conn.attempt)
 }
 
-// handleReply takes one answer that came on a connection.
+// handleReply handles one answer received on a connection.
 func (p *Pool) handleReply(now time.Time, conn *conn, reply Reply) {
 	attempt := conn.attempt
 	switch {
@@ -111,11 +111,11 @@
 		p.handleGreeting(now, conn, reply)
 		return
 	case !conn.ready:
-		// It is no answer to the attempt that waits.
+		// It cannot be the answer to the waiting attempt, which is not written yet.
 		p.closeUnwritten(conn, errEarlyAnswer)
 		return
 	case attempt == nil || attempt.canceled || reply.Greeting:
-		p.Stats.LateAnswers++ // what follows on this connection could not be matched to its request
+		p.Stats.LateAnswers++ // further answers on this connection could not be matched to their requests
 		p.closeConn(conn, errUnexpectedReply)
 		if attempt != nil {
 			p.failLost(attempt, errCanceled)
@@ -130,20 +130,20 @@
 	p.release(now, conn)
 }
 
-// handleGreeting takes the answer to a connection's greeting.
+// handleGreeting handles the answer to a connection's greeting.
 func (p *Pool) handleGreeting(now time.Time, conn *conn, reply Reply) {
 	if reply.Err != nil {
 		p.closeUnwritten(conn, reply.Err)
 		return
 	}
-	delete(p.greeting, conn)
+	delete(p.awaitingGreeting, conn)
 	conn.ready = true
 	if conn.attempt != nil {
 		p.write(now, conn, conn.attempt)
 	}
 }
 
-// handleClosed takes the end of a connection.
+// handleClosed handles the close of a connection.
 func (p *Pool) handleClosed(conn *conn, cause error) {
 	if !conn.closed && conn.transport != nil {
 		p.Stats.Broken++
@@ -157,7 +157,7 @@
 	}
 }
 
-// closeUnwritten closes a connection whose attempt, if it has one, was not written.
+// closeUnwritten closes a connection and ends its attempt, if it has one, as not written.
 func (p *Pool) closeUnwritten(conn *conn, cause error) {
 	attempt := conn.attempt
 	p.closeConn(conn, cause)
@@ -177,7 +177,7 @@
 	}
 }
 
-// release makes a connection that has carried an attempt idle.
+// release makes a connection idle after its attempt has ended.
 func (p *Pool) release(now time.Time, conn *conn) {
 	conn.attempt = nil
 	if conn.closed || !conn.ready {
@@ -187,7 +187,7 @@
 	p.idle[conn.server] = append(p.idle[conn.server], conn)
 }
 
-// takeIdle returns an idle connection that the server surely still holds, nil if there is none. It is not idle any more.
+// takeIdle removes and returns an idle connection that the server cannot have closed for idleness; nil if there is none.
 func (p *Pool) takeIdle(now time.Time, to aggregator.Server) *conn {
 	for _, c := range slices.Backward(p.idle[to.ID]) {
 		if c.addr == to.Addr && !p.stale(now, c) {
@@ -220,10 +220,10 @@
 	}
 }
 
-// stale reports whether the server may close an idle connection by the time that a request arrives.
+// stale reports whether the server may have closed an idle connection by the time a request written now arrives.
 func (p *Pool) stale(now time.Time, c *conn) bool { return now.Sub(c.lastUsed) > p.maxIdle() }
 
-// maxIdle is how long an idle connection is used for new requests.
+// maxIdle is how long an idle connection remains usable for new requests.
 func (p *Pool) maxIdle() time.Duration {
 	return max(p.limits.IdleTimeout/2, p.limits.IdleTimeout-idleMargin)
 }
--- a/internal/backend/serialconn/errors.go
+++ b/internal/backend/serialconn/errors.go
@@ -1,19 +1,22 @@
 package serialconn
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
-// The causes of an AttemptError and of closing a connection, where there is no more to say than this.
+// Fixed causes of an AttemptError and of closing a connection.
 var (
-	errNoConnection    = errors.New("no connection left, or the server is gone")
-	errServerDraining  = errors.New("the server is draining")
-	errNoGreeting      = errors.New("the server does not answer the greeting")
-	errEarlyAnswer     = errors.New("the server answered before the request")
-	errUnexpectedReply = errors.New("an answer that nobody waits for")
-	errCanceled        = errors.New("canceled")
-	errNotNeeded       = errors.New("not needed any more")
-	errServerClosed    = errors.New("the server closed the connection")
-	errCloseRequested  = errors.New("the server wants the connection closed")
-	errBroken          = errors.New("the connection broke")
-	errIdle            = errors.New("idle")
-	errEvicted         = errors.New("idle, and connections run short")
+	errNoConnection      = errors.New("the server has no address or no codec, or the connection limit is reached")
+	errServerUnavailable = errors.New("the server accepts no new requests: it is draining, detached or not listed")
+	errNoGreeting        = fmt.Errorf("the server did not answer the greeting within %v", greetingTimeout)
+	errEarlyAnswer       = errors.New("the server sent an answer before a request was written")
+	errUnexpectedReply   = errors.New("answer received with no request waiting for it")
+	errCanceled          = errors.New("attempt canceled")
+	errNotNeeded         = errors.New("connection not needed: its attempt was canceled during the dial")
+	errServerClosed      = errors.New("the server closed the connection")
+	errCloseRequested    = errors.New("the server requested that the connection be closed")
+	errBroken            = errors.New("the connection broke")
+	errIdle              = errors.New("connection idle for too long")
+	errEvicted           = errors.New("idle connection closed: the connection limit is reached")
 )
--- a/internal/backend/serialconn/harness_test.go
+++ b/internal/backend/serialconn/harness_test.go
@@ -12,37 +12,37 @@
 	"rooktrestle/internal/query"
 )
 
-// harness drives a pool by hand: it is the mailbox, the dialer, the transports and the directory, and it keeps a model of
-// what each attempt may have come to. Its clock begins at 1000 s.
+// harness drives a pool step by step: it replaces the mailbox, the dialer, the transports and the directory, and tracks in
+// a model which results of each attempt are possible. Its clock starts at 1000 s.
 type harness struct {
-	t          *testing.T
-	pool       *Pool
-	now        time.Time
-	mailbox    []aggregator.Message
-	transports []*fakeTransport
-	draining   bool // the server is
-	greets     bool // the protocol has a greeting
-	sent       []*attemptModel
+	t           *testing.T
+	pool        *Pool
+	now         time.Time
+	mailbox     []aggregator.Message
+	transports  []*fakeTransport
+	draining    bool // the server is draining
+	hasGreeting bool // the protocol has a greeting
+	sent        []*attemptModel
 }
 
-// attemptModel is what is known of an attempt outside the pool.
+// attemptModel is the state of an attempt as seen from outside the pool.
 type attemptModel struct {
 	id          aggregator.AttemptID
 	name        string
-	transport   *fakeTransport // that its request was handed to
-	settled     bool           // the transport has said how far it was written
+	transport   *fakeTransport // on which its request was written
+	settled     bool           // the transport has reported writeResult
 	writeResult tcp.WriteResult
 	canceled    bool
-	answered    bool // a reply came on its connection
+	answered    bool // a reply was received on its connection
 	endCount    int
 }
 
-// mayHaveRun reports whether bytes of the attempt can have reached the server.
+// mayHaveRun reports whether bytes of the attempt may have reached the server.
 func (a *attemptModel) mayHaveRun() bool {
 	return a.transport != nil && (!a.settled || a.writeResult != tcp.WriteNone)
 }
 
-// fakeTransport keeps what the pool writes until the test settles it.
+// fakeTransport queues the pool's writes until the test completes them with settle.
 type fakeTransport struct {
 	harness *harness
 	conn    *conn
@@ -73,14 +73,14 @@
 		}
 		a.transport = f
 		if f.harness.draining {
-			f.harness.t.Fatalf("%s went to a server that is draining", a.name)
+			f.harness.t.Fatalf("%s was sent to a draining server", a.name)
 		}
 		return a
 	}
 	return nil
 }
 
-// settle says how far the oldest write came.
+// settle completes the oldest write with a result.
 func (f *fakeTransport) settle(result tcp.WriteResult) {
 	if len(f.writes) == 0 {
 		return
@@ -95,7 +95,7 @@
 
 func (f *fakeTransport) Close(error) { f.end(tcp.WriteUncertain) }
 
-// end closes the socket. first is how far the oldest write came; none of the others began.
+// end closes the socket. first is the result of the oldest write; the others end with WriteNone.
 func (f *fakeTransport) end(first tcp.WriteResult) {
 	if f.closed {
 		return
@@ -111,7 +111,7 @@
 type nameCodec struct{ harness *harness }
 
 func (c nameCodec) Greeting() []byte {
-	if c.harness.greets {
+	if c.harness.hasGreeting {
 		return []byte("hello")
 	}
 	return nil
@@ -123,7 +123,7 @@
 
 func (nameCodec) Parser() Parser { return nil }
 
-// newHarness returns a harness whose pool dials nothing: finishDial posts what a dial comes to.
+// newHarness returns a harness whose pool does not dial: finishDial posts the results of dials.
 func newHarness(t *testing.T) *harness {
 	h := &harness{t: t, now: time.Unix(1000, 0)}
 	limits := Limits{ConnectTimeout: time.Second, IdleTimeout: 12 * time.Second, MaxConnections: 4}
@@ -147,7 +147,7 @@
 	h.runTurn()
 }
 
-// finishDial ends the dial for an attempt, if there is one: with a new transport, or with an error.
+// finishDial completes the dial for an attempt, if there is one: with a new transport, or with an error.
 func (h *harness) finishDial(model *attemptModel, err error) {
 	a := h.pool.attempts[model.id]
 	if a == nil || a.conn == nil || a.conn.transport != nil || a.conn.closed {
@@ -168,13 +168,13 @@
 	h.runTurn()
 }
 
-// runTurn lets the pool take all messages and checks each end of an attempt against the model.
+// runTurn passes all messages to the pool and checks each end of an attempt against the model.
 func (h *harness) runTurn() {
 	for len(h.mailbox) > 0 {
 		m := h.mailbox[0]
 		h.mailbox = h.mailbox[1:]
-		events, mine := h.pool.Handle(h.now, m)
-		if !mine {
+		events, handled := h.pool.Handle(h.now, m)
+		if !handled {
 			events = []aggregator.Event{m.(aggregator.Event)}
 		}
 		h.check(events)
@@ -196,23 +196,23 @@
 	}
 	if e.Err == nil {
 		if !a.answered {
-			h.t.Fatalf("%s is served without an answer", a.name)
+			h.t.Fatalf("%s succeeded without an answer", a.name)
 		}
 		return
 	}
 	var failure *aggregator.AttemptError
 	if !errors.As(e.Err, &failure) || failure.Progress < aggregator.Written && a.mayHaveRun() {
-		h.t.Fatalf("%s is said not to have run: %v", a.name, e.Err)
+		h.t.Fatalf("%s may have run, but is reported as not run: %v", a.name, e.Err)
 	}
 	if failure.Part != a.name || failure.Server != "s" {
 		h.t.Fatalf("%s: %v names another part or server", a.name, e.Err)
 	}
 	if failure.Canceled && a.mayHaveRun() && !a.transport.closed {
-		h.t.Fatalf("%s was canceled and its connection goes on", a.name)
+		h.t.Fatalf("%s was canceled, but its connection is still open", a.name)
 	}
 }
 
-// finish breaks all connections: whatever was sent must have ended by then, once.
+// finish breaks all connections and dials, and checks that each attempt has ended exactly once.
 func (h *harness) finish() {
 	for _, a := range h.sent {
 		h.finishDial(a, errors.New("refused"))
--- a/internal/backend/serialconn/messages.go
+++ b/internal/backend/serialconn/messages.go
@@ -5,29 +5,29 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// The messages that the pool's other goroutines post to the loop; Pool.Handle takes them.
+// The messages that the pool's other goroutines post to the loop; Pool.Handle handles them.
 type (
-	// dialResult ends a dial: with an open transport, or with an error.
+	// dialResult is the result of a dial: an open transport, or an error.
 	dialResult struct {
 		aggregator.AdapterMessage
 		conn      *conn
 		transport Transport
 		err       error
 	}
-	// replyReceived is one answer that came on a connection.
+	// replyReceived is one answer received on a connection.
 	replyReceived struct {
 		aggregator.AdapterMessage
 		conn  *conn
 		reply Reply
 	}
-	// connectionClosed says that a connection has ended, or that what came on it cannot be parsed. err is nil if the server
-	// closed it in order.
+	// connectionClosed reports that a connection is closed, or that bytes received on it cannot be parsed. err is nil if the
+	// server closed it gracefully.
 	connectionClosed struct {
 		aggregator.AdapterMessage
 		conn *conn
 		err  error
 	}
-	// writeFinished says how far an attempt's request was written.
+	// writeFinished reports how much of an attempt's request was written.
 	writeFinished struct {
 		aggregator.AdapterMessage
 		attempt *attempt
--- a/internal/backend/serialconn/pool.go
+++ b/internal/backend/serialconn/pool.go
@@ -1,6 +1,6 @@
-// Package serialconn sends attempts to servers whose protocol has one request at a time on a connection. Pool holds the
-// connections. It lives on the aggregator's loop, which alone calls it, and owns all state of the package; what runs on
-// other goroutines (dialing, reading, the ends of writes) only posts messages to the loop's mailbox.
+// Package serialconn sends attempts to servers whose protocols allow one request at a time on a connection. Pool manages the
+// connections. Only the aggregator's loop calls it, and it owns all state of the package; code on other goroutines (dialing,
+// reading, write callbacks) only posts messages to the loop's mailbox.
 package serialconn
 
 import (
@@ -12,60 +12,59 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// Limits bound a pool's connections.
+// Limits are the limits of a pool on its connections.
 type Limits struct {
 	ConnectTimeout time.Duration // of one dial
-	IdleTimeout    time.Duration // a server closes a connection that has been idle for so long
-	MaxConnections int           // to all servers together, with those that are being dialed
+	IdleTimeout    time.Duration // after which a server closes an idle connection
+	MaxConnections int           // to all servers together, including those being dialed
 }
 
 const (
-	// idleMargin keeps writes off a connection that the server may be about to close for idleness: a request written to it
-	// could not be proved not to have run.
+	// idleMargin keeps requests off a connection that the server may be about to close for idleness: it would be unknown
+	// whether a request written on it ran.
 	idleMargin = 2 * time.Second
 	// greetingTimeout is how long a server may take to answer the greeting.
 	greetingTimeout = 500 * time.Millisecond
 )
 
-// Stats count what the pool did since it was made.
+// Stats are counters of a pool since its creation.
 type Stats struct {
-	Dials       uint64 // begun
+	Dials       uint64 // started
 	DialsFailed uint64 // refused or timed out
-	Broken      uint64 // connections that ended without the pool having closed them
-	LateAnswers uint64 // answers that nobody waited for any more
+	Broken      uint64 // connections closed by the server or by an error, not by the pool
+	LateAnswers uint64 // answers received with no request waiting for them
 }
 
-// Pool holds the connections to all servers and the attempts on them. It is an aggregator.Backend and an
-// aggregator.Adapter: only the loop calls its methods, and each attempt given to Send ends in exactly one AttemptEnded
+// Pool manages the connections to all servers and the attempts on them. It is an aggregator.Backend and an
+// aggregator.Adapter: only the loop calls its methods, and each attempt passed to Send ends with exactly one AttemptEnded
 // event.
 type Pool struct {
 	Stats Stats
 
-	limits    Limits
-	mailbox   aggregator.Poster
-	codec     func(balance.Replica) Codec
-	dial      func(c *conn, addr string, codec Codec) // returns at once; posts a dialResult
-	directory aggregator.Directory
-	idle      map[balance.Replica][]*conn // in the order in which they became so
-	greeting  map[*conn]time.Time         // connections whose greeting is not answered, and when it was sent
-	attempts  map[aggregator.AttemptID]*attempt
-	connCount int // connections that are being dialed or open
-
-	pendingEvents []aggregator.Event // for the core, from the message or the sweep being handled
+	limits           Limits
+	mailbox          aggregator.Poster
+	codec            func(balance.Replica) Codec
+	dial             func(c *conn, addr string, codec Codec) // returns at once; posts a dialResult
+	directory        aggregator.Directory
+	idle             map[balance.Replica][]*conn // in the order in which they became idle
+	awaitingGreeting map[*conn]time.Time         // connections whose greeting is not answered, and when it was sent
+	attempts         map[aggregator.AttemptID]*attempt
+	connCount        int // connections that are dialing or open
+
+	pendingEvents []aggregator.Event // for the core, emitted by the message or sweep being handled
 	handling      bool               // a message or a sweep is being handled
 }
 
-// NewPool returns a pool that posts its messages to mailbox, opens connections with dial and encodes attempts with a
-// server's codec; codec returns nil for a server that is not known. SetDirectory has to be called before the first attempt
-// is sent.
+// NewPool returns a pool that posts its messages to mailbox, opens connections with dial and encodes attempts with the
+// server's codec; codec returns nil for an unknown server. SetDirectory has to be called before the first attempt is sent.
 func NewPool(limits Limits, mailbox aggregator.Poster, dial tcp.Dialer, codec func(balance.Replica) Codec) *Pool {
 	p := &Pool{
-		limits:   limits,
-		mailbox:  mailbox,
-		codec:    codec,
-		idle:     map[balance.Replica][]*conn{},
-		greeting: map[*conn]time.Time{},
-		attempts: map[aggregator.AttemptID]*attempt{},
+		limits:           limits,
+		mailbox:          mailbox,
+		codec:            codec,
+		idle:             map[balance.Replica][]*conn{},
+		awaitingGreeting: map[*conn]time.Time{},
+		attempts:         map[aggregator.AttemptID]*attempt{},
 	}
 	p.dial = func(c *conn, addr string, codec Codec) {
 		go func() { mailbox.Put(p.runDial(c, addr, codec, dial)) }()
@@ -73,22 +72,22 @@
 	return p
 }
 
-// runDial dials a connection whose replies go to the pool's mailbox. It blocks until the connection is up or has failed,
-// so that it is not called on the loop.
+// runDial dials a connection whose replies are posted to the pool's mailbox. It blocks until the dial has succeeded or
+// failed, so it is not called on the loop.
 func (p *Pool) runDial(c *conn, addr string, codec Codec, dial tcp.Dialer) dialResult {
 	transport, err := dial(addr, p.limits.ConnectTimeout, func(*tcp.Conn) tcp.Handler {
 		return &replyReader{conn: c, mailbox: p.mailbox, parser: codec.Parser()}
 	})
 	if err != nil {
-		return dialResult{conn: c, err: err} // without the nil *tcp.Conn: as a Transport it would not be nil
+		return dialResult{conn: c, err: err} // no transport: a nil *tcp.Conn in a Transport would not equal nil
 	}
 	return dialResult{conn: c, transport: transport}
 }
 
-// SetDirectory sets the directory that says where new requests may go.
+// SetDirectory sets the directory that decides which servers accept new requests.
 func (p *Pool) SetDirectory(d aggregator.Directory) { p.directory = d }
 
-// Send starts each attempt on a connection of its own.
+// Send sends each attempt on a connection of its own: an idle one, or a new one.
 func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.OutgoingAttempt) {
 	for _, call := range calls {
 		a := &attempt{call: call, server: to}
@@ -101,8 +100,8 @@
 	}
 }
 
-// Cancel gives an attempt up. None of the protocols can cancel a request so that nothing more comes of it, so the
-// connection is closed, and the attempt ends when it is.
+// Cancel cancels an attempt. None of the protocols can cancel a request so that no answer follows, so the connection is
+// closed, and the attempt ends when that is done.
 func (p *Pool) Cancel(_ time.Time, id aggregator.AttemptID, _ bool) {
 	attempt := p.attempts[id]
 	if attempt == nil || attempt.canceled {
@@ -114,19 +113,19 @@
 		conn.transport.Close(errCanceled)
 		return
 	}
-	// Dialing or greeting: nothing of it was written.
+	// Dialing or greeting: no byte of the request was written.
 	p.fail(attempt, &aggregator.AttemptError{Progress: aggregator.NotConnected, Canceled: true})
 	if conn.transport != nil {
 		p.closeConn(conn, errCanceled)
 	}
 }
 
-// Probe ends at once, as failed: these protocols have no probe for load.
+// Probe fails at once: these protocols have no load probe.
 func (p *Pool) Probe(_ time.Time, to aggregator.Server) {
 	p.emit(aggregator.ProbeEnded{Server: to.ID, Err: &aggregator.AttemptError{Progress: aggregator.NotConnected}})
 }
 
-// Handle takes a message that the pool posted, and returns the events that come of it and whether it was one of the
+// Handle handles a message that the pool posted. It returns the resulting events, and whether the message is one of the
 // pool's.
 func (p *Pool) Handle(now time.Time, message aggregator.Message) ([]aggregator.Event, bool) {
 	p.handling = true
@@ -146,8 +145,8 @@
 	return p.takeEvents(), true
 }
 
-// Sweep closes connections before the server does for idleness, and those whose greeting is not answered in time. It
-// returns when it has to be called again; zero if nothing is due.
+// Sweep closes idle connections before the server closes them, and connections whose greeting is not answered in time. It
+// returns when it has to be called again; zero if nothing is pending.
 func (p *Pool) Sweep(now time.Time) ([]aggregator.Event, time.Time) {
 	next := p.sweepIdle(now)
 	p.handling = true
@@ -156,7 +155,7 @@
 	return p.takeEvents(), next
 }
 
-// sweepIdle closes idle connections that may not be used any more, and returns when the next will be due.
+// sweepIdle closes idle connections that are no longer usable, and returns when the next one has to be closed.
 func (p *Pool) sweepIdle(now time.Time) (next time.Time) {
 	for _, conns := range p.idle {
 		for _, c := range slices.Clone(conns) {
@@ -170,10 +169,10 @@
 	return next
 }
 
-// sweepGreeting ends attempts whose server has accepted a connection and not answered the greeting, and returns when the
-// next will be due. Nothing of them was written, so they may go elsewhere.
+// sweepGreeting ends attempts whose server has accepted a connection but not answered the greeting in time, and returns when
+// the next greeting times out. No byte of their requests was written, so their parts may be sent to other servers.
 func (p *Pool) sweepGreeting(now time.Time) (next time.Time) {
-	for c, since := range p.greeting {
+	for c, since := range p.awaitingGreeting {
 		due := since.Add(greetingTimeout)
 		if now.Before(due) {
 			next = earlier(next, due)
@@ -184,7 +183,7 @@
 	return next
 }
 
-// earlier returns the earlier of two times, of which a zero one is none.
+// earlier returns the earlier of two times; a zero time counts as none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -192,8 +191,8 @@
 	return a
 }
 
-// emit passes an event to the core: as a result of the message or the sweep being handled, or, where the core itself
-// called the pool, by the mailbox in a later turn.
+// emit passes an event to the core: as a result of the message or sweep being handled, or, if the core itself called the
+// pool, through the mailbox in a later turn.
 func (p *Pool) emit(e aggregator.Event) {
 	if p.handling {
 		p.pendingEvents = append(p.pendingEvents, e)
@@ -202,7 +201,7 @@
 	}
 }
 
-// takeEvents returns the events of the message or the sweep being handled.
+// takeEvents removes and returns the events of the message or sweep being handled.
 func (p *Pool) takeEvents() []aggregator.Event {
 	events := p.pendingEvents
 	p.pendingEvents = nil
--- a/internal/backend/serialconn/pool_test.go
+++ b/internal/backend/serialconn/pool_test.go
@@ -8,11 +8,11 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// fuzzStep is one step of FuzzPool. pick chooses among variants of the step; f and a are a transport and an attempt that it
-// chose, nil if there is none.
+// fuzzStep is one step of FuzzPool. pick selects a variant of the step; f and a are the transport and the attempt that it
+// selects, nil if there is none.
 type fuzzStep func(h *harness, pick int, f *fakeTransport, a *attemptModel)
 
-// fuzzSteps are chosen by the last decimal digit of a byte of the input, and pick is the rest of it.
+// fuzzSteps are indexed by the last decimal digit of an input byte; pick is the byte divided by 10.
 var fuzzSteps = [10]fuzzStep{
 	0: stepSend,
 	1: stepCancel,
@@ -27,7 +27,7 @@
 }
 
 func stepSend(h *harness, _ int, _ *fakeTransport, _ *attemptModel) {
-	if !h.draining { // the decisions send nothing new there
+	if !h.draining { // the core sends no new attempts to a draining server
 		h.send()
 	}
 }
@@ -93,17 +93,17 @@
 	}
 }
 
-// Whatever the order of events, each attempt ends once, and as it may have: see harness.checkEnd.
+// Whatever the order of events, each attempt ends exactly once, with a possible result: see harness.checkEnd.
 func FuzzPool(f *testing.F) {
-	f.Add(false, []byte{0, 2, 4, 6, 0, 4, 6})       // served, and again on the same connection
-	f.Add(true, []byte{0, 2, 9, 4, 4, 5})           // greeted, then broken
-	f.Add(true, []byte{0, 2, 8, 8, 0, 3})           // never greeted; refused
-	f.Add(false, []byte{0, 1, 2, 0, 2, 1, 4, 6})    // canceled before and after
-	f.Add(false, []byte{0, 7, 2, 7, 0, 2, 4, 6, 8}) // drains while it connects
+	f.Add(false, []byte{0, 2, 4, 6, 0, 4, 6})       // two attempts succeed on the same connection
+	f.Add(true, []byte{0, 2, 9, 4, 4, 5})           // greeting answered, then connection broken
+	f.Add(true, []byte{0, 2, 8, 8, 0, 3})           // greeting not answered; connection refused
+	f.Add(false, []byte{0, 1, 2, 0, 2, 1, 4, 6})    // canceled before and after it was written
+	f.Add(false, []byte{0, 7, 2, 7, 0, 2, 4, 6, 8}) // server drains during the dial
 	f.Add(false, []byte{0, 2, 15, 0, 2, 25, 0, 2, 4, 5})
 	f.Fuzz(func(t *testing.T, greets bool, steps []byte) {
 		h := newHarness(t)
-		h.greets = greets
+		h.hasGreeting = greets
 		for _, step := range steps[:min(len(steps), 200)] {
 			pick := int(step) / 10
 			var transport *fakeTransport
