--- a/internal/backend/sru/client.go
+++ b/internal/backend/sru/client.go
@@ -1,4 +1,4 @@
-// Package sru encodes attempts as SRU requests over HTTP and judges the answers.
+// Package sru encodes attempts as SRU requests over HTTP and decodes the answers.
 package sru
 
 import (
@@ -15,29 +15,29 @@
 	"rooktrestle/internal/query"
 )
 
-// maxAnswerLen is the longest body of an answer that is taken from a server.
+// maxAnswerLen is the longest body of an answer that is accepted from a server.
 const maxAnswerLen = 1 << 20
 
-// Diagnostics of SRU that say something of the server, or of the outcome.
+// SRU diagnostics that do not concern the query itself: they describe the server, or qualify its result.
 const (
 	diagSystemError      = sru.Diag + "1"
 	diagUnavailable      = sru.Diag + "2"
 	diagAuthentication   = sru.Diag + "3"
-	diagPartialResult    = sru.Diag + "59" // a result of which a part is valid
+	diagPartialResult    = sru.Diag + "59" // the result is valid, but not complete
 	diagDatabaseNotFound = sru.Diag + "235"
 )
 
 // Client is the serialconn.Codec of one SRU server.
 type Client struct {
 	Host string // as in the requests' Host field
-	// Database returns the name of a shard's database; epoch is that of the map of shards by which the attempt was sent.
+	// Database returns the name of a shard's database; epoch is that of the shard map by which the attempt was sent.
 	Database func(shard int, epoch shardmap.Epoch) string
 }
 
 // Greeting returns nil: HTTP has no greeting.
 func (c *Client) Greeting() []byte { return nil }
 
-// Request returns the request of an attempt: a search or, if the work has an action, an update.
+// Request returns the encoded request of an attempt: a search or, if the work has an action, an update.
 func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
 	database := c.Database(call.Shard, call.Epoch)
 	if work.Action == "" {
@@ -55,7 +55,7 @@
 
 type clientParser struct{ http http1.Parser }
 
-// Feed takes bytes and returns the answers that are complete with them.
+// Feed accepts received bytes and returns the answers that they complete.
 func (p *clientParser) Feed(b []byte) (replies []serialconn.Reply, err error) {
 	p.http.Feed(b)
 	for {
@@ -63,21 +63,21 @@
 		if err != nil || m == nil {
 			return replies, err
 		}
-		replies = append(replies, judge(m))
+		replies = append(replies, toReply(m))
 	}
 }
 
-// End returns an answer without a stated length, which lasts until the stream ends.
+// End returns the answer that is completed by the end of the stream: one without a stated length.
 func (p *clientParser) End() []serialconn.Reply {
 	if m := p.http.End(); m != nil {
-		return []serialconn.Reply{judge(m)}
+		return []serialconn.Reply{toReply(m)}
 	}
 	return nil
 }
 
-// judge turns an HTTP answer into a reply. What a server says of the query itself is an answer; what it says of itself is an
-// error, and proves nothing of whether the request ran.
-func judge(message *http1.Message) serialconn.Reply {
+// toReply converts an HTTP answer to a reply. A diagnostic about the request is an answer. One about the server is an error,
+// which does not show whether the request ran.
+func toReply(message *http1.Message) serialconn.Reply {
 	reply := serialconn.Reply{Close: message.Close}
 	result, err := parseResult(message)
 	if err != nil {
@@ -89,14 +89,14 @@
 	return reply
 }
 
-// parseResult returns what an answer says of the request, or an AttemptError.
+// parseResult returns the result that an answer contains, or an AttemptError.
 func parseResult(message *http1.Message) (query.PartResult, error) {
 	if message.Status != http.StatusOK {
-		return query.PartResult{}, failed(fmt.Errorf("status %d", message.Status))
+		return query.PartResult{}, answeredError(fmt.Errorf("status %d", message.Status))
 	}
 	response, err := sru.ParseResponse(message.Body)
 	if err != nil {
-		return query.PartResult{}, failed(err)
+		return query.PartResult{}, answeredError(err)
 	}
 	if response.Diagnostic != nil {
 		if err := serverError(response.Diagnostic); err != nil {
@@ -112,17 +112,18 @@
 	return response.PartResult, nil
 }
 
-// serverError returns the AttemptError of a diagnostic by which the server speaks of itself; nil if it is of the request.
+// serverError returns the AttemptError of a diagnostic about the server; nil if the diagnostic is about the request.
 func serverError(d *query.Diagnostic) error {
 	switch d.SRU {
 	case diagSystemError, diagUnavailable, diagAuthentication:
-		return failed(errors.New(d.SRU + " " + d.Details))
+		return answeredError(errors.New(d.SRU + " " + d.Details))
 	case diagDatabaseNotFound:
 		return serialconn.MapMismatchError(d.Details)
 	}
 	return nil
 }
 
-func failed(cause error) error {
+// answeredError returns the AttemptError of an answer that reports a failure of the server.
+func answeredError(cause error) error {
 	return &aggregator.AttemptError{Progress: aggregator.Answered, Cause: cause}
 }
--- a/internal/backend/sru/client_test.go
+++ b/internal/backend/sru/client_test.go
@@ -9,7 +9,7 @@
 	"rooktrestle/internal/protocol/http1"
 )
 
-func TestJudge(t *testing.T) {
+func TestToReply(t *testing.T) {
 	diagnosed := func(code string) string {
 		return `<searchRetrieveResponse><numberOfRecords>0</numberOfRecords><diagnostics><diagnostic>` +
 			`<uri>info:srw/diagnostic/1/` + code + `</uri></diagnostic></diagnostics></searchRetrieveResponse>`
@@ -33,7 +33,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reply := judge(&http1.Message{Status: http.StatusOK, Body: []byte(c.body)})
+			reply := toReply(&http1.Message{Status: http.StatusOK, Body: []byte(c.body)})
 			if (reply.Err != nil) != c.failed {
 				t.Fatalf("%s: %+v", c.body, reply)
 			}
@@ -43,7 +43,7 @@
 			}
 		})
 	}
-	if reply := judge(&http1.Message{Status: http.StatusServiceUnavailable}); reply.Err == nil {
-		t.Error("a status 503 is an answer")
+	if reply := toReply(&http1.Message{Status: http.StatusServiceUnavailable}); reply.Err == nil {
+		t.Error("status 503 was accepted as an answer")
 	}
 }
