--- a/internal/backend/z3950/client.go
+++ b/internal/backend/z3950/client.go
@@ -1,4 +1,4 @@
-// Package z3950 encodes attempts as the requests of a Z39.50 origin and judges the target's responses.
+// Package z3950 encodes attempts as the requests of a Z39.50 origin and decodes the target's responses.
 package z3950
 
 import (
@@ -13,30 +13,30 @@
 )
 
 const (
-	// implementation names the program to the target.
+	// implementation is the implementation ID and name that Init sends to the target.
 	implementation = "rooktrestle"
-	// resultSetName is the result set of every search: each replaces the last.
+	// resultSetName is the result set of every search, which replaces that of the previous one.
 	resultSetName = "default"
-	// maxPartialLen bounds what is kept of a response that is not complete: the largest, and its header.
+	// maxPartialLen is the longest incomplete response that is retained: the largest PDU and its header.
 	maxPartialLen = z3950.MaxPDU + 64
 )
 
 const (
-	// noLargeSet is a bound that no result set reaches: records come with the answer to any search.
-	noLargeSet = 1 << 30
-	// operationFailed is the status of an extended service that failed.
+	// unreachableSetSize is a large-set lower bound that no result set reaches, so every search response may have records.
+	unreachableSetSize = 1 << 30
+	// operationFailed is the operation status of an extended service that failed.
 	operationFailed = 3
-	// reasonUnspecified is the reason for a Close that names none.
+	// reasonUnspecified is the reason assumed for a Close that states none.
 	reasonUnspecified = 9
 )
 
-// Diagnostics of bib-1.
+// Diagnostics of the bib-1 set.
 const (
 	bib1Unspecified         = 100
 	bib1DatabaseUnavailable = 109
 )
 
-// serverDiagnostics are the diagnostics of bib-1 by which a target speaks of itself, not of the request.
+// serverDiagnostics are the bib-1 diagnostics about the state of the target, not about the request.
 var serverDiagnostics = map[int]bool{
 	1:               true, // permanent system error
 	2:               true, // temporary system error
@@ -48,13 +48,13 @@
 }
 
 var (
-	errNotContext   = errors.New("z3950: not a unit of this protocol")
-	errInitRejected = errors.New("the target refused the association")
+	errNotPDU       = errors.New("z3950: the response is not a Z39.50 PDU: its tag is not context-specific")
+	errInitRejected = errors.New("z3950: the target rejected the Init request")
 )
 
 // Client is the serialconn.Codec of one Z39.50 target.
 type Client struct {
-	// Database returns the name of a shard's database; epoch is that of the map of shards by which the attempt was sent.
+	// Database returns the name of a shard's database; epoch is that of the shard map by which the attempt was sent.
 	Database func(shard int, epoch shardmap.Epoch) string
 }
 
@@ -71,8 +71,8 @@
 	).Encode(nil)
 }
 
-// Request returns the request of an attempt: a search, which asks for its records along with the count, or, if the work has
-// an action, an update. An error says that the query cannot be expressed.
+// Request returns the encoded request of an attempt: a search, which requests records along with the count, or, if the work
+// has an action, an update. An error means that the query cannot be expressed in Z39.50.
 func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
 	database := c.Database(call.Shard, call.Epoch)
 	if work.Action != "" {
@@ -89,7 +89,7 @@
 	return z3950.Constructed(z3950.SearchRequest,
 		z3950.String(z3950.FieldReferenceID, call.Name),
 		z3950.Integer(z3950.FieldSmallSetUpperBound, work.MaxRecords),
-		z3950.Integer(z3950.FieldLargeSetLowerBound, noLargeSet),
+		z3950.Integer(z3950.FieldLargeSetLowerBound, unreachableSetSize),
 		z3950.Integer(z3950.FieldMediumSetPresentNumber, work.MaxRecords),
 		z3950.Boolean(z3950.FieldReplaceIndicator, true),
 		z3950.String(z3950.FieldResultSetName, resultSetName),
@@ -104,7 +104,7 @@
 
 type clientParser struct{ buf []byte }
 
-// Feed takes bytes and returns the responses that are complete with them.
+// Feed accepts received bytes and returns the replies of the responses that they complete.
 func (p *clientParser) Feed(data []byte) (replies []serialconn.Reply, err error) {
 	p.buf = append(p.buf, data...)
 	for len(p.buf) > 0 {
@@ -116,7 +116,7 @@
 			return replies, err
 		}
 		p.buf = append([]byte(nil), rest...)
-		reply, err := judge(node)
+		reply, err := toReply(node)
 		if err != nil {
 			return replies, err
 		}
@@ -125,13 +125,13 @@
 	return replies, nil
 }
 
-// End returns nothing: a response says itself where it ends.
+// End returns nothing: every response has a stated end, so the end of the stream completes none.
 func (p *clientParser) End() []serialconn.Reply { return nil }
 
-// judge turns a response into a reply. An error says that the association cannot be used any more.
-func judge(node *z3950.Node) (serialconn.Reply, error) {
+// toReply converts a response to a reply. An error means that the association cannot be used any more.
+func toReply(node *z3950.Node) (serialconn.Reply, error) {
 	if node.Class != z3950.Context {
-		return serialconn.Reply{}, errNotContext
+		return serialconn.Reply{}, errNotPDU
 	}
 	switch node.Tag {
 	case z3950.InitResponse:
@@ -141,19 +141,19 @@
 		}
 		return reply, nil
 	case z3950.SearchResponse:
-		return judgeResult(searchResult(node)), nil
+		return resultReply(parseSearchResponse(node)), nil
 	case z3950.EsResponse:
-		return judgeResult(updateResult(node)), nil
+		return resultReply(parseUpdateResponse(node)), nil
 	case z3950.ClosePDU:
 		reason := node.Child(z3950.FieldCloseReason).IntOr(reasonUnspecified)
 		details := node.Child(z3950.FieldCloseInformation).Text()
-		return serialconn.Reply{}, fmt.Errorf("z3950: the target closed: reason %d %s", reason, details)
+		return serialconn.Reply{}, fmt.Errorf("z3950: the target closed the association: reason %d, %q", reason, details)
 	default:
-		return serialconn.Reply{}, fmt.Errorf("z3950: unit %d", node.Tag)
+		return serialconn.Reply{}, fmt.Errorf("z3950: unexpected PDU with tag %d", node.Tag)
 	}
 }
 
-func searchResult(node *z3950.Node) (result query.PartResult) {
+func parseSearchResponse(node *z3950.Node) (result query.PartResult) {
 	result.Count = max(0, node.Child(z3950.FieldResultCount).IntOr(0))
 	result.Records, result.Diagnostic = z3950.ParseRecords(node)
 	if !node.Child(z3950.FieldSearchStatus).Bool() && result.Diagnostic == nil {
@@ -162,7 +162,7 @@
 	return result
 }
 
-func updateResult(node *z3950.Node) (result query.PartResult) {
+func parseUpdateResponse(node *z3950.Node) (result query.PartResult) {
 	if list := node.Child(z3950.FieldEsDiagnostics); list != nil && len(list.Children) > 0 {
 		result.Diagnostic = z3950.ParseDiagnostic(list.Children[0])
 	}
@@ -173,9 +173,9 @@
 	return result
 }
 
-// judgeResult turns a result into a reply. What a target says of the query itself is an answer; what it says of itself is an
-// error, and proves nothing of whether the request ran.
-func judgeResult(result query.PartResult) serialconn.Reply {
+// resultReply converts a result to a reply. A diagnostic about the request is an answer. One about the target is an error,
+// which does not show whether the request ran.
+func resultReply(result query.PartResult) serialconn.Reply {
 	if result.Diagnostic != nil {
 		if err := targetError(result.Diagnostic); err != nil {
 			return serialconn.Reply{Err: err}
@@ -184,7 +184,7 @@
 	return serialconn.Reply{Value: query.Encode(result), Score: float64(result.Count)}
 }
 
-// targetError returns the AttemptError of a diagnostic by which the target speaks of itself; nil if it is of the request.
+// targetError returns the AttemptError of a diagnostic about the target; nil if the diagnostic is about the request.
 func targetError(d *query.Diagnostic) error {
 	if d.Bib1 == bib1DatabaseUnavailable {
 		return serialconn.MapMismatchError(d.Details)
--- a/internal/backend/z3950/client_test.go
+++ b/internal/backend/z3950/client_test.go
@@ -7,7 +7,7 @@
 	"rooktrestle/internal/query"
 )
 
-// No input makes the parser of a target's responses panic, and what it keeps is bounded.
+// No input makes the parser of a target's responses panic, and the bytes that it retains are bounded.
 func FuzzAnswers(f *testing.F) {
 	f.Add(z3950.Constructed(z3950.SearchResponse,
 		z3950.Integer(z3950.FieldResultCount, 1),
@@ -19,7 +19,7 @@
 		p := &clientParser{}
 		replies, err := p.Feed(b)
 		if err == nil && len(p.buf) > maxPartialLen {
-			t.Fatalf("%d replies, and %d bytes kept", len(replies), len(p.buf))
+			t.Fatalf("%d replies, and %d bytes retained", len(replies), len(p.buf))
 		}
 	})
 }
