--- a/internal/frontend/platform/answer.go
+++ b/internal/frontend/platform/answer.go
@@ -9,16 +9,16 @@
 	"rooktrestle/internal/net/httpserve"
 )
 
-// responder passes a query's final answer to its client.
+// responder sends a query's final answer to its client.
 type responder struct{ exchange *httpserve.Exchange }
 
-// Answer implements the aggregator's port for final answers. It may be called by any goroutine.
+// Answer sends the final answer. It may be called on any goroutine.
 func (r responder) Answer(final aggregator.FinalAnswer) {
 	status, body, fields := render(final)
 	r.exchange.Respond(status, body, fields...)
 }
 
-// answerBody is the JSON of an answer.
+// answerBody is the JSON body of an answer.
 type answerBody struct {
 	Complete bool         `json:"entire"`
 	Items    []answerItem `json:"items"`
@@ -30,7 +30,7 @@
 	Body  string `json:"body"`
 }
 
-// render returns the HTTP response for a final answer: its status, its body, and names and values of its header in turn.
+// render returns the HTTP response for a final answer: status, body, and header fields as alternating names and values.
 func render(final aggregator.FinalAnswer) (status int, body []byte, fields []string) {
 	switch final.Status {
 	case aggregator.StatusServed:
@@ -48,7 +48,7 @@
 }
 
 func renderServed(final aggregator.FinalAnswer) (status int, body []byte, fields []string) {
-	answer := answerBody{Complete: final.Complete, Items: []answerItem{}} // no items are [], never null
+	answer := answerBody{Complete: final.Complete, Items: []answerItem{}} // encoded as [] if empty, never as null
 	for _, item := range final.Items {
 		answer.Items = append(answer.Items, answerItem{item.Shard, item.Value})
 	}
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,7 +1,7 @@
 // Package platform is the platform's frontend: queries over HTTP/1.1.
 //
-// POST /CLASS with a JSON body starts a query; its headers state the request's id, tenant and deadline. GET /healthz
-// answers whether the aggregator is ready, GET /counters with its counters.
+// POST /CLASS with a JSON body starts a query; its header fields state the request's id, tenant and deadline. GET /healthz
+// reports whether the aggregator is ready, GET /counters returns its counters.
 package platform
 
 import (
@@ -19,16 +19,16 @@
 	countersPath = "/counters"
 )
 
-// Options are what a Frontend needs to know. Classes, Tenants and MaxTimeout hold until SetVocabulary.
+// Options configure a Frontend. Classes, Tenants and MaxTimeout apply until SetVocabulary is called.
 type Options struct {
 	Classes    []string // names of the request classes, in the order of their indices
-	Tenants    []string // names of the tenants, in the order of their indices; empty: requests state none
-	Shards     int      // a query's slices are numbered from 0 to Shards-1
+	Tenants    []string // names of the tenants, in the order of their indices; empty: requests must not state one
+	Shards     int      // a query's parts name shards from 0 to Shards-1
 	MaxTimeout time.Duration
 	Timeouts   httpserve.Timeouts
 }
 
-// Frontend reads requests from connections and posts them to the aggregator's loop. Its methods may be called by any
+// Frontend reads requests from connections and posts them to the aggregator's loop. Its methods may be called on any
 // goroutine.
 type Frontend struct {
 	*httpserve.Server
@@ -40,8 +40,8 @@
 	vocabulary atomic.Pointer[Vocabulary]
 }
 
-// New returns a Frontend that posts to put, which must not block. counters returns the text that GET /counters shows; it
-// is called on a goroutine of its own and may wait for the loop.
+// New returns a Frontend that posts its messages with put, which must not block. counters returns the body of
+// GET /counters; it is called on a goroutine of its own and may wait for the loop.
 func New(options Options, put func(aggregator.Message), now func() time.Time, counters func() string) *Frontend {
 	f := &Frontend{options: options, put: put, counters: counters}
 	f.vocabulary.Store(newVocabulary(options.Classes, options.Tenants, options.MaxTimeout))
@@ -49,15 +49,15 @@
 	return f
 }
 
-// formerPeriod is for how long requests may name what a new vocabulary does not have any more.
-const formerPeriod = 3 * time.Second
+// previousGracePeriod is how long requests may still use names that only the previous vocabulary contains.
+const previousGracePeriod = 3 * time.Second
 
-// SetVocabulary sets what requests may name from now on.
+// SetVocabulary replaces the vocabulary. Names of the current one are accepted for previousGracePeriod after now.
 func (f *Frontend) SetVocabulary(next Vocabulary, now time.Time) {
-	former := *f.vocabulary.Load()
-	former.Previous = nil // one generation back is enough
-	next.Previous = &former
-	next.PreviousUntil = now.Add(formerPeriod)
+	previous := *f.vocabulary.Load()
+	previous.Previous = nil // only one previous vocabulary is retained
+	next.Previous = &previous
+	next.PreviousUntil = now.Add(previousGracePeriod)
 	f.vocabulary.Store(&next)
 }
 
@@ -73,13 +73,13 @@
 	f.handleQuery(exchange, path)
 }
 
-// handleStatus answers requests for the aggregator's own state.
+// handleStatus answers requests for the aggregator's readiness and counters.
 func (f *Frontend) handleStatus(exchange *httpserve.Exchange, path string) {
 	switch {
 	case exchange.Method != http.MethodGet && exchange.Method != http.MethodHead:
-		rejectBad(exchange, http.StatusMethodNotAllowed, "only GET", "Allow", "GET, HEAD")
+		respondError(exchange, http.StatusMethodNotAllowed, "only GET", "Allow", "GET, HEAD")
 	case path == countersPath:
-		// The loop may be busy. Nobody waits for the goroutine, which ends with the loop's answer.
+		// The loop may be busy. Nothing waits for the goroutine, which ends once the loop has answered.
 		go func() { exchange.Respond(http.StatusOK, []byte(f.counters()+"\n"), "Content-Type", "text/plain") }()
 	case f.ready.Load():
 		exchange.Respond(http.StatusOK, []byte("ok\n"))
@@ -88,34 +88,35 @@
 	}
 }
 
-// handleQuery posts a query to the loop, or rejects it where it is malformed.
+// handleQuery posts a query to the loop, or rejects a malformed one.
 func (f *Frontend) handleQuery(exchange *httpserve.Exchange, path string) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	vocabulary := f.vocabulary.Load()
 	class, known := vocabulary.class(name, exchange.FirstByteAt)
 	if !known {
-		rejectBad(exchange, http.StatusNotFound, "no such class")
+		respondError(exchange, http.StatusNotFound, "no such class")
 		return
 	}
 	if exchange.Method != http.MethodPost {
-		rejectBad(exchange, http.StatusMethodNotAllowed, "only POST", "Allow", "POST")
+		respondError(exchange, http.StatusMethodNotAllowed, "only POST", "Allow", "POST")
 		return
 	}
 	request, err := f.parseRequest(vocabulary, exchange.Message, class, exchange.FirstByteAt)
 	if err != nil {
-		rejectBad(exchange, http.StatusBadRequest, err.Error())
+		respondError(exchange, http.StatusBadRequest, err.Error())
 		return
 	}
 	request.Frontend = responder{exchange}
 	request.Disconnected = exchange.Disconnected
 	disconnected := func() { f.put(aggregator.ClientDisconnected{Request: request}) }
-	// In this order: a disconnect in between would reach the loop before its request, and be forgotten.
+	// The request is posted first: a disconnect that reached the loop before its request would be ignored.
 	f.put(aggregator.RequestArrived{Request: request})
 	if !exchange.OnDisconnect(disconnected) {
 		disconnected()
 	}
 }
 
-func rejectBad(exchange *httpserve.Exchange, status int, reason string, fields ...string) {
+// respondError rejects a request; reason is the body that the client receives.
+func respondError(exchange *httpserve.Exchange, status int, reason string, fields ...string) {
 	exchange.Respond(status, []byte(reason+"\n"), append(fields, "Content-Type", "text/plain")...)
 }
--- a/internal/frontend/platform/parse.go
+++ b/internal/frontend/platform/parse.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	weightTolerance = 1e-3 // by which the weights of a query may miss 1: they come rounded
-	maxDeadline     = 1e6  // seconds that a client may state
-	maxWorkHint     = 1e12 // microseconds that a client may state
+	weightTolerance = 1e-3 // by which the sum of a query's weights may differ from 1: clients round them
+	maxDeadline     = 1e6  // seconds; the longest deadline that a client may state
+	maxWorkHint     = 1e12 // microseconds; a work hint must be below it
 	maxIDLength     = 128
 	termLength      = 16 // hexadecimal digits
 )
 
-// Errors of a query's body. The client reads them after a 400.
+// Errors of a query's body. The client receives their texts with status 400.
 var (
-	errNotUTF8    = errors.New("body: not UTF-8")
-	errIncomplete = errors.New("body: no slices, or no filter")
+	errNotUTF8         = errors.New("body: not UTF-8")
+	errNoPartsOrFilter = errors.New("body: no slices, or no filter")
 )
 
-// queryBody is the JSON of a query.
+// queryBody is the JSON body of a query. Its type name and that of querySlice appear in the error texts of encoding/json,
+// which the client receives.
 type queryBody struct {
-	Slices []querySlice `json:"slices"`
+	Parts  []querySlice `json:"slices"`
 	Filter *string      `json:"filter"`
 }
 
-// querySlice is the part of a query that one shard answers.
+// querySlice is the part of a query for one shard.
 type querySlice struct {
 	Shard    *int    `json:"slice"`
 	Weight   float64 `json:"mass"`
@@ -42,7 +43,7 @@
 	Term     string  `json:"term"`
 }
 
-// parseRequest decodes a query. arrived is when its first byte came. An error is meant for the client.
+// parseRequest decodes a query. arrived is when its first byte was received. The client receives the text of an error.
 func (f *Frontend) parseRequest(
 	vocabulary *Vocabulary, m *http1.Message, class int, arrived time.Time,
 ) (*aggregator.Request, error) {
@@ -55,13 +56,13 @@
 		return nil, err
 	}
 	request.Payload = *body.Filter
-	if err := f.addParts(body.Slices, request); err != nil {
+	if err := f.addParts(body.Parts, request); err != nil {
 		return nil, err
 	}
 	return request, nil
 }
 
-// parseHeader reads what the header states of a request.
+// parseHeader parses the header fields of a request.
 func parseHeader(vocabulary *Vocabulary, header http1.Header, request *aggregator.Request) error {
 	request.ID, request.IsRetry = header.Get("X-Request-Id"), header.Get("X-Retry") == "1"
 	if !validID(request.ID) {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// parseDeadline reads a number of seconds from the request's arrival. Digits and a point only: what else strconv takes
-// for a number is none here.
+// parseDeadline parses a deadline, in seconds from the request's arrival. Only digits and a point are accepted, not the
+// other forms of strconv.ParseFloat.
 func parseDeadline(text string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(seconds > 0) || seconds > maxDeadline {
@@ -99,19 +100,19 @@
 
 func decodeBody(text []byte) (queryBody, error) {
 	var body queryBody
-	if !utf8.Valid(text) { // it would reach the leaf servers changed
+	if !utf8.Valid(text) { // encoding/json would replace the invalid bytes, and the leaf servers receive another filter
 		return queryBody{}, errNotUTF8
 	}
 	if err := json.Unmarshal(text, &body); err != nil {
 		return queryBody{}, fmt.Errorf("body: %w", err)
 	}
-	if len(body.Slices) == 0 || body.Filter == nil || *body.Filter == "" {
-		return queryBody{}, errIncomplete
+	if len(body.Parts) == 0 || body.Filter == nil || *body.Filter == "" {
+		return queryBody{}, errNoPartsOrFilter
 	}
 	return body, nil
 }
 
-// addParts adds a query's parts and its key, which is the first term that is stated.
+// addParts sets a request's parts and its key, which is the first term that a part states.
 func (f *Frontend) addParts(parts []querySlice, request *aggregator.Request) error {
 	seen, sum := map[int]bool{}, 0.0
 	for _, part := range parts {
@@ -132,17 +133,17 @@
 			request.Key = part.Term
 		}
 	}
-	// Guards against weights that put a complete answer out of reach, or make one of a part.
+	// Guards against weights by which no answer would count as complete, or a partial one would.
 	if math.Abs(sum-1) > weightTolerance {
 		return fmt.Errorf("body: masses add up to %v", sum)
 	}
-	for i := range request.Parts { // what rounding took would be missing from a complete answer
+	for i := range request.Parts { // normalized: a complete answer must have weight 1 despite rounding
 		request.Parts[i].Weight /= sum
 	}
 	return nil
 }
 
-// validate checks the fields of a part but its shard. A NaN fails.
+// validate checks all fields of a part but its shard. NaN is invalid.
 func (p querySlice) validate() error {
 	if !(p.Weight >= 0 && p.Weight <= 1) || !(p.WorkHint >= 0 && p.WorkHint < maxWorkHint) {
 		return fmt.Errorf("body: slice %d: mass %v, micros %v", *p.Shard, p.Weight, p.WorkHint)
@@ -153,10 +154,10 @@
 	return nil
 }
 
-// validID says whether a request's id can stand in a line of the leaf servers' protocol.
+// validID reports whether a request's id can be part of a line of the leaf protocol.
 func validID(id string) bool {
 	for i := range len(id) {
-		if id[i] <= ' ' || id[i] >= 0x7f || id[i] == ',' { // a comma: the field was given twice
+		if id[i] <= ' ' || id[i] >= 0x7f || id[i] == ',' { // a comma: the header field was repeated
 			return false
 		}
 	}
--- a/internal/frontend/platform/parse_test.go
+++ b/internal/frontend/platform/parse_test.go
@@ -9,10 +9,10 @@
 	"rooktrestle/internal/protocol/http1"
 )
 
-const goodBody = `{"slices":[{"slice":1,"mass":0.25,"micros":1500},{"slice":3,"mass":0.75,"term":"00112233aabbccdd"}],"filter":"f"}`
+const validBody = `{"slices":[{"slice":1,"mass":0.25,"micros":1500},{"slice":3,"mass":0.75,"term":"00112233aabbccdd"}],"filter":"f"}`
 
-// goodHeader is the header of a request that is accepted, with one field changed.
-func goodHeader(field, value string) http1.Header {
+// validHeader returns the header of a request that is accepted, with one field changed.
+func validHeader(field, value string) http1.Header {
 	h := http1.Header{"x-request-id": "q1", "x-deadline": "0.5", "x-tenant": "two", "x-class": "a", "x-retry": "1"}
 	if field != "" {
 		h[field] = value
@@ -46,36 +46,36 @@
 			{Shard: 3, Weight: 0.75},
 		},
 	}
-	m, f := message(goodHeader("", ""), goodBody)
+	m, f := message(validHeader("", ""), validBody)
 	if r, err := f.parseRequest(f.vocabulary.Load(), m, 0, arrived); err != nil || !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, %v; want %+v", r, err, want)
 	}
 }
 
 func TestParseRequest_CapsTheDeadline(t *testing.T) {
-	m, f := message(goodHeader("x-deadline", "7"), goodBody)
+	m, f := message(validHeader("x-deadline", "7"), validBody)
 	if r, err := f.parseRequest(f.vocabulary.Load(), m, 0, time.Unix(1000, 0)); err != nil || r.Timeout != time.Second {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
-// Each malformed request is rejected with the reason that its client reads.
+// Each malformed request is rejected with the reason that its client receives.
 func TestParseRequest_Rejects(t *testing.T) {
 	const invalidSlice = "body: a slice that is missing, twice there or not within 0 to 3"
 	for name, c := range map[string]struct {
 		field, value, body string
 		want               string
 	}{
-		"no id":                    {"x-request-id", "", goodBody, `X-Request-Id ""`},
-		"an id with a space":       {"x-request-id", "a b", goodBody, `X-Request-Id "a b"`},
-		"an id given twice":        {"x-request-id", "a,b", goodBody, `X-Request-Id "a,b"`},
-		"another class":            {"x-class", "b", goodBody, `X-Class "b" does not go with the path`},
-		"an unknown tenant":        {"x-tenant", "three", goodBody, `X-Tenant "three"`},
-		"no tenant":                {"x-tenant", "", goodBody, `X-Tenant ""`},
-		"no deadline":              {"x-deadline", "", goodBody, `X-Deadline ""`},
-		"a deadline of 0":          {"x-deadline", "0", goodBody, `X-Deadline "0"`},
-		"a deadline with a sign":   {"x-deadline", "+1", goodBody, `X-Deadline "+1"`},
-		"a deadline beyond limits": {"x-deadline", "1000001", goodBody, `X-Deadline "1000001"`},
+		"no id":                    {"x-request-id", "", validBody, `X-Request-Id ""`},
+		"an id with a space":       {"x-request-id", "a b", validBody, `X-Request-Id "a b"`},
+		"an id given twice":        {"x-request-id", "a,b", validBody, `X-Request-Id "a,b"`},
+		"another class":            {"x-class", "b", validBody, `X-Class "b" does not go with the path`},
+		"an unknown tenant":        {"x-tenant", "three", validBody, `X-Tenant "three"`},
+		"no tenant":                {"x-tenant", "", validBody, `X-Tenant ""`},
+		"no deadline":              {"x-deadline", "", validBody, `X-Deadline ""`},
+		"a deadline of 0":          {"x-deadline", "0", validBody, `X-Deadline "0"`},
+		"a deadline with a sign":   {"x-deadline", "+1", validBody, `X-Deadline "+1"`},
+		"a deadline beyond limits": {"x-deadline", "1000001", validBody, `X-Deadline "1000001"`},
 		"a body that is not UTF-8": {"", "", "{\"filter\":\"\xff\"}", "body: not UTF-8"},
 		"a body that is no JSON":   {"", "", "{", "body: unexpected end of JSON input"},
 		"no slices":                {"", "", `{"slices":[],"filter":"f"}`, "body: no slices, or no filter"},
@@ -89,7 +89,7 @@
 		"weights that miss 1":      {"", "", `{"slices":[{"slice":1,"mass":0.5}],"filter":"f"}`, "body: masses add up to 0.5"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, f := message(goodHeader(c.field, c.value), c.body)
+			m, f := message(validHeader(c.field, c.value), c.body)
 			if r, err := f.parseRequest(f.vocabulary.Load(), m, 0, time.Unix(1000, 0)); err == nil || err.Error() != c.want {
 				t.Errorf("%+v, %v; want %s", r, err, c.want)
 			}
--- a/internal/frontend/platform/races_test.go
+++ b/internal/frontend/platform/races_test.go
@@ -17,22 +17,23 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(netpollPoller))
 }
 
-// netpollPoller runs for as long as the process: netpoll starts its pollers once and never ends them.
+// netpollPoller runs as long as the process: netpoll starts its pollers once and never stops them.
 const netpollPoller = "github.com/cloudwego/netpoll.(*defaultPoll).Wait"
 
-// Disconnects of clients in forced orders, on real connections (docs/crossings.md).
+// The tests of this file force races with a client's disconnect into a fixed order, on real connections: see
+// docs/crossings.md.
 
-// connObserver notifies a test of what its handler has done.
+// connObserver notifies a test of the calls that its handler has completed.
 type connObserver struct {
 	tcp.Handler
-	handled chan int      // bytes that a call of Data was given, once it has returned
-	closed  chan struct{} // closed once the end of the connection has been handled
+	handled chan int      // number of bytes of each call of Data, sent once it has returned
+	closed  chan struct{} // closed once Closed has returned
 }
 
 func (o connObserver) Data(b []byte)    { o.Handler.Data(b); o.handled <- len(b) }
 func (o connObserver) Closed(err error) { o.Handler.Closed(err); close(o.closed) }
 
-// serve listens until the test ends and returns a client's connection, and the observer of the other side's handler.
+// serve listens until the test ends. It returns a client's connection and the observer of the server's handler for it.
 func serve(t *testing.T, f *Frontend) (net.Conn, connObserver) {
 	t.Helper()
 	observer := connObserver{handled: make(chan int, 10), closed: make(chan struct{})}
@@ -55,7 +56,7 @@
 	return New(Options{Classes: []string{"a"}, Shards: 4, MaxTimeout: time.Minute}, put, time.Now, nil)
 }
 
-// query returns query number n as a client sends it.
+// query returns the HTTP request of query number n.
 func query(n int) string {
 	body := `{"slices":[{"slice":1,"mass":1}],"filter":"f"}`
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Request-Id: %d\r\nX-Deadline: 1\r\nContent-Length: %d\r\n\r\n%s", n, len(body), body)
@@ -68,17 +69,18 @@
 	}
 }
 
-// A client disconnects between the parsing of its request and its hand-over to the loop. The request was sent behind
-// another one, so that it is handed over by whoever answers that, beside the connection's own end. Its arrival reaches the
-// loop before the disconnect: in the other order the disconnect would be forgotten, and the query forwarded for nobody.
+// A client disconnects after its request was parsed and before it is posted to the loop. The request was sent behind
+// another one, so it is posted by the goroutine that answers that one, concurrently with the handling of the connection's
+// close. The request must reach the loop before the disconnect: otherwise the disconnect would be ignored, and the query
+// would be forwarded for a disconnected client.
 func TestFrontend_DisconnectBeforeHandOver(t *testing.T) {
 	var client net.Conn
 	var observer connObserver
 	posted := make(chan aggregator.Message, 10)
 	f := newFrontend(func(m aggregator.Message) {
 		if arrived, ok := m.(aggregator.RequestArrived); ok && arrived.Request.ID == "2" {
-			_ = client.Close() // nothing was read from it
-			<-observer.closed  // its end has been handled, and the request is not yet handed over
+			_ = client.Close() // its answers are not read
+			<-observer.closed  // the close has been handled, and the request is not posted yet
 		}
 		posted <- m
 	})
@@ -86,8 +88,8 @@
 	both := query(1) + query(2)
 	send(t, client, both)
 	first := (<-posted).(aggregator.RequestArrived).Request
-	// The second is there when the first is answered, and what read it has returned: else it could be handed over there, and
-	// the connection's end would wait for the hand-over.
+	// Data has returned for the second request before the first is answered: otherwise Data itself could post the second,
+	// and the connection's close would be handled only after that.
 	for handled := 0; handled < len(both); {
 		handled += <-observer.handled
 	}
@@ -111,8 +113,8 @@
 	<-answered
 }
 
-// A client disconnects, or closes its side of the connection, with a request in flight and another behind it: the loop is
-// notified for the first, and the second never reaches it.
+// A client closes or half-closes its connection with a request in flight and another one behind it: the loop is notified of
+// the disconnect for the first, and never receives the second.
 func TestFrontend_DisconnectWithRequestBehind(t *testing.T) {
 	for name, disconnect := range map[string]func(*net.TCPConn) error{
 		"closes":      (*net.TCPConn).Close,
@@ -134,7 +136,7 @@
 			<-observer.closed
 			first.Frontend.Answer(aggregator.FinalAnswer{Status: aggregator.StatusRejected})
 			if n := len(posted); n > 0 || f.OpenConns() > 0 {
-				t.Errorf("%d more events, %d connections", n, f.OpenConns())
+				t.Errorf("%d more messages, %d connections", n, f.OpenConns())
 			}
 		})
 	}
--- a/internal/frontend/platform/vocabulary.go
+++ b/internal/frontend/platform/vocabulary.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Vocabulary is what requests may name, and the indices that the names stand for. It is not changed once it is in use.
+// Vocabulary contains the class and tenant names that requests may state, with their indices, and the longest timeout. It
+// is not modified once it is in use.
 type Vocabulary struct {
 	Classes    map[string]int
-	Tenants    map[string]int // empty: requests state none
+	Tenants    map[string]int // empty: requests must not state one
 	MaxTimeout time.Duration
-	// Previous is what requests could name before, which they may until FormerUntil: they were sent before their clients
-	// learned of the change. nil: there is nothing.
+	// Previous contains names that are accepted until PreviousUntil, from requests that were sent before their clients were
+	// notified of the change. nil: none.
 	Previous      *Vocabulary
 	PreviousUntil time.Time
 }
 
-// newVocabulary numbers names in their order.
+// newVocabulary returns a vocabulary in which the index of a name is its position.
 func newVocabulary(classes, tenants []string, maxTimeout time.Duration) *Vocabulary {
-	return &Vocabulary{Classes: numbered(classes), Tenants: numbered(tenants), MaxTimeout: maxTimeout}
+	return &Vocabulary{Classes: indexByName(classes), Tenants: indexByName(tenants), MaxTimeout: maxTimeout}
 }
 
-func numbered(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	indices := make(map[string]int, len(names))
 	for i, name := range names {
 		indices[name] = i
@@ -26,7 +27,7 @@
 	return indices
 }
 
-// class is the index of a class that requests may name at now.
+// class returns the index of a class by a name that requests may state at now.
 func (v *Vocabulary) class(name string, now time.Time) (index int, ok bool) {
 	if index, ok = v.Classes[name]; ok || v.Previous == nil || now.After(v.PreviousUntil) {
 		return index, ok
@@ -35,7 +36,7 @@
 	return index, ok
 }
 
-// tenant is the index of a tenant that requests may name at now.
+// tenant returns the index of a tenant by a name that requests may state at now.
 func (v *Vocabulary) tenant(name string, now time.Time) (index int, ok bool) {
 	if index, ok = v.Tenants[name]; ok || v.Previous == nil || now.After(v.PreviousUntil) {
 		return index, ok
