--- a/internal/backend/leaf/frame_test.go
+++ b/internal/backend/leaf/frame_test.go
@@ -16,7 +16,7 @@
 		"empty frame":                "\x00\x00\x00\x00",
 		"length over 1 GB":           "\xc0",
 		"length over 64 KB":          "\x00\x01",
-		"length over the highest":    "\x00\x00\x10\x01",
+		"length over the maximum":    "\x00\x00\x10\x01",
 		"value longer than a value":  "\x00\x00\x00\x405q.0 S 1 -\n",
 		"unknown type":               "\x00\x00\x00\x108",
 		"value shorter than a value": "\x00\x00\x00\x0e5q.0 S 1 -\nabc",
@@ -106,21 +106,21 @@
 // abandoned by then, the call has no frame, and none of its parts is sent.
 func TestSendableFrame(t *testing.T) {
 	deadline := testStart.Add(time.Second)
-	good := aggregator.OutgoingAttempt{Name: "q.1", Shard: 1, Deadline: deadline, Payload: "x"}
-	abandoned := good
+	valid := aggregator.OutgoingAttempt{Name: "q.1", Shard: 1, Deadline: deadline, Payload: "x"}
+	abandoned := valid
 	abandoned.Abandoned = func(time.Time) bool { return true }
-	outsideWindow := good
+	outsideWindow := valid
 	outsideWindow.WriteBy = testStart
 	for name, test := range map[string]struct {
 		now   time.Time
 		calls []aggregator.OutgoingAttempt
 		want  string // in the frame; empty: there is none
 	}{
-		"at once":           {testStart, []aggregator.OutgoingAttempt{good}, " d=1000 "},
-		"held up":           {testStart.Add(150 * time.Millisecond), []aggregator.OutgoingAttempt{good}, " d=850 "},
-		"at the deadline":   {deadline, []aggregator.OutgoingAttempt{good}, ""},
+		"at once":           {testStart, []aggregator.OutgoingAttempt{valid}, " d=1000 "},
+		"delayed":           {testStart.Add(150 * time.Millisecond), []aggregator.OutgoingAttempt{valid}, " d=850 "},
+		"at the deadline":   {deadline, []aggregator.OutgoingAttempt{valid}, ""},
 		"abandoned":         {testStart, []aggregator.OutgoingAttempt{abandoned}, ""},
-		"with an abandoned": {testStart, []aggregator.OutgoingAttempt{good, abandoned}, ""},
+		"with an abandoned": {testStart, []aggregator.OutgoingAttempt{valid, abandoned}, ""},
 		"outside a window":  {testStart, []aggregator.OutgoingAttempt{outsideWindow}, ""},
 	} {
 		frame := string(sendableFrame(test.now, test.calls))
--- a/internal/backend/leaf/pool_test.go
+++ b/internal/backend/leaf/pool_test.go
@@ -83,7 +83,7 @@
 	case 0:
 		h.answer(f, "q.unknown", 'S')
 	case 1:
-		h.post(framesReceived{conn: f.conn, err: errors.New("noise")})
+		h.post(framesReceived{conn: f.conn, err: errors.New("invalid bytes")})
 	case 2:
 		h.post(framesReceived{conn: f.conn, partial: true})
 	case 3:
@@ -176,12 +176,12 @@
 
 // Invalid or unexpected bytes behind a valid answer close the connection, but do not affect that answer or the next part.
 func TestPool_BytesBehindAnswerCloseConnection(t *testing.T) {
-	good := Frame{frameAnswer, []byte("q.0 S 7 queue=1\n" + validValue)}
+	valid := Frame{frameAnswer, []byte("q.0 S 7 queue=1\n" + validValue)}
 	for name, m := range map[string]framesReceived{
-		"noise":                      {frames: []Frame{good}, err: errors.New("noise")},
-		"beginning of a frame":       {frames: []Frame{good}, partial: true},
-		"the same answer again":      {frames: []Frame{good, good}},
-		"answer to a probe not sent": {frames: []Frame{good, {frameLoad, []byte("-")}}},
+		"invalid bytes":              {frames: []Frame{valid}, err: errors.New("invalid bytes")},
+		"beginning of a frame":       {frames: []Frame{valid}, partial: true},
+		"the same answer again":      {frames: []Frame{valid, valid}},
+		"answer to a probe not sent": {frames: []Frame{valid, {frameLoad, []byte("-")}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
@@ -243,7 +243,7 @@
 	for _, transport := range h.transports {
 		transport.settle(tcp.WriteComplete)
 	}
-	h.post(framesReceived{conn: third.transport.conn, err: errors.New("noise")})
+	h.post(framesReceived{conn: third.transport.conn, err: errors.New("invalid bytes")})
 	third.transport.finishAbort()
 	h.runTurn()
 	if first.endCount+second.endCount != 0 || third.endCount != 1 {
