--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -146,12 +146,12 @@
 	}
 	conn.lastUsed = now
 	attempts := batch.attempts
-	write := tcp.LateWrite{
+	write := tcp.DeferredWrite{
 		Size:   callSize(calls),
 		Within: within,
 		Bytes:  func(now time.Time) []byte { return sendableFrame(now, calls) },
 	}
-	conn.transport.WriteLate(write, func(result tcp.WriteResult) {
+	conn.transport.WriteDeferred(write, func(result tcp.WriteResult) {
 		p.mailbox.Put(writeFinished{conn: conn, attempts: attempts, result: result})
 	})
 }
--- a/internal/backend/leaf/conn.go
+++ b/internal/backend/leaf/conn.go
@@ -14,8 +14,8 @@
 type Transport interface {
 	// Write queues b. done, which may be nil, is called with how far b was written.
 	Write(b []byte, done func(tcp.WriteResult))
-	// WriteLate is Write for bytes that are made when their turn comes, or are of no use any more by then.
-	WriteLate(write tcp.LateWrite, done func(tcp.WriteResult))
+	// WriteDeferred is Write for bytes that are made when their turn comes, or are of no use any more by then.
+	WriteDeferred(write tcp.DeferredWrite, done func(tcp.WriteResult))
 	// Close closes the connection.
 	Close(cause error)
 	// Abort closes the connection and discards what is not sent yet; done is called once the socket is closed.
--- a/internal/backend/leaf/harness_test.go
+++ b/internal/backend/leaf/harness_test.go
@@ -70,7 +70,7 @@
 	lastReceived time.Time
 }
 
-func (f *fakeTransport) WriteLate(write tcp.LateWrite, done func(tcp.WriteResult)) {
+func (f *fakeTransport) WriteDeferred(write tcp.DeferredWrite, done func(tcp.WriteResult)) {
 	b := write.Bytes(f.harness.now)
 	if write.Within <= 0 || write.Within > maxWriteDelay {
 		f.harness.t.Fatalf("%q may wait for %v", b, write.Within)
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -166,8 +166,8 @@
 // passes until then. The harness checks the limits that the pool gives.
 type patientTransport struct{ *tcp.Conn }
 
-func (t patientTransport) WriteLate(write tcp.LateWrite, done func(tcp.WriteResult)) {
-	t.Conn.WriteLate(tcp.LateWrite{
+func (t patientTransport) WriteDeferred(write tcp.DeferredWrite, done func(tcp.WriteResult)) {
+	t.Conn.WriteDeferred(tcp.DeferredWrite{
 		Size:   write.Size,
 		Within: patience,
 		Bytes:  func(time.Time) []byte { return write.Bytes(testStart) },
--- a/internal/net/tcp/races_test.go
+++ b/internal/net/tcp/races_test.go
@@ -25,8 +25,8 @@
 	})
 	<-held
 	late := func(within time.Duration, text []byte) {
-		write := LateWrite{Size: len(text), Within: within, Bytes: func(time.Time) []byte { return text }}
-		c.WriteLate(write, func(r WriteResult) { results <- r })
+		write := DeferredWrite{Size: len(text), Within: within, Bytes: func(time.Time) []byte { return text }}
+		c.WriteDeferred(write, func(r WriteResult) { results <- r })
 	}
 	late(1, []byte("late "))
 	late(time.Hour, nil) // of no use any more when its turn comes
--- a/internal/net/tcp/write.go
+++ b/internal/net/tcp/write.go
@@ -18,8 +18,8 @@
 	WriteExpired                      // no byte of it: it was of no use any more when its turn came
 )
 
-// LateWrite is a write whose bytes are made when its turn comes, so that what they say of the time is true then.
-type LateWrite struct {
+// DeferredWrite is a write whose bytes are made when its turn comes, so that what they say of the time is true then.
+type DeferredWrite struct {
 	// Size is about how many bytes it makes: they count among those that are queued.
 	Size int
 	// Within is the time within which writing has to begin.
@@ -44,10 +44,10 @@
 	c.enqueue(pendingWrite{data: b, size: len(b), done: done})
 }
 
-// WriteLate is Write for bytes that are made when their turn comes. What has not begun within its time, or is of no use
+// WriteDeferred is Write for bytes that are made when their turn comes. What has not begun within its time, or is of no use
 // any more by then, comes to WriteExpired. Guards what was decided for a moment against a peer that reads slowly, and
 // against a process that is held up: its clock has moved on, and those that it was meant for may have left.
-func (c *Conn) WriteLate(write LateWrite, done func(WriteResult)) {
+func (c *Conn) WriteDeferred(write DeferredWrite, done func(WriteResult)) {
 	c.enqueue(pendingWrite{
 		late:     write.Bytes,
 		size:     write.Size,
