--- a/internal/net/tcp/accept.go
+++ b/internal/net/tcp/accept.go
@@ -9,12 +9,12 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// acceptPause is the pause after an accept that the system failed. The poller holds it: where the cause lasts, as with
-// descriptors that ran out, the listener is reported as readable again at once.
+// acceptPause is the pause after a failed accept. It blocks the poller: while the cause lasts, for example when the
+// process has no free descriptors, the listener is reported as readable again immediately.
 const acceptPause = 2 * time.Millisecond
 
-// transientAcceptErrors are those that accept(2) documents for connections that have ended in the queue, for resources that
-// ran out, and for signals: the listener is as good as before.
+// transientAcceptErrors are the errors that accept(2) documents for connections closed in the accept queue, for
+// exhausted resources, and for signals. The listener remains usable after them.
 var transientAcceptErrors = []error{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EPERM,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -22,14 +22,14 @@
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
 }
 
-// steadyListener goes on listening whatever transient error an accept has. Guards against netpoll, which logs each of them
-// without a pause, and turns away from the listener for up to a second where descriptors have run out.
+// steadyListener continues to accept after transient errors. netpoll itself logs each of them without a pause, and
+// stops polling the listener for up to a second when the process has no free descriptors.
 type steadyListener struct {
 	netpoll.Listener
 	pause func(time.Duration)
 }
 
-// Accept returns neither a connection nor an error where there is nothing to accept now, as netpoll expects it.
+// Accept returns neither a connection nor an error if there is nothing to accept at present, as netpoll expects.
 func (l steadyListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil && isTransient(err) {
--- a/internal/net/tcp/accept_test.go
+++ b/internal/net/tcp/accept_test.go
@@ -22,7 +22,8 @@
 	return nil, err
 }
 
-// A listener survives every error that is not its own end, and pauses after each; netpoll sees none of them.
+// A listener continues after every transient error, and pauses after each; netpoll receives none of them. It returns
+// the errors that state that the listener itself is closed or invalid.
 func TestSteadyListener_Accept(t *testing.T) {
 	failing := &failingListener{errs: append([]error{}, transientAcceptErrors...)}
 	pauses := 0
--- a/internal/net/tcp/close.go
+++ b/internal/net/tcp/close.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseGracefully ends the connection once all that is queued is written: it half-closes, reads on for a while without
-// passing on what comes, and closes when the peer has closed, too. Guards the last response against the reset that a close
-// over unread bytes brings: a reset discards what the peer has not yet received.
+// CloseGracefully closes the connection once all queued writes are sent: it half-closes the connection, discards what
+// still arrives, and closes when the peer has closed, or after lingerTimeout. A plain close with unread bytes in the
+// socket would send a reset, and a reset discards the part of the last response that the peer has not yet received.
 func (c *Conn) CloseGracefully() {
 	c.mu.Lock()
 	c.closing = true
@@ -21,17 +21,17 @@
 	}
 }
 
-// Close closes the connection at once; Handler.Closed is called with the first cause that was given.
+// Close closes the connection immediately. Handler.Closed is called with the first non-nil cause.
 func (c *Conn) Close(cause error) {
 	c.mu.Lock()
 	c.markClosed(cause)
 	c.mu.Unlock()
-	go c.closeSocket() // it may call Handler.Closed at once, and the caller may hold a lock that Closed needs
+	go c.closeSocket() // may call Handler.Closed synchronously, and the caller may hold a lock that Closed acquires
 }
 
-// CloseAndWait closes the connection and returns when it has ended: a limiter admits another in its place then. The caller
-// holds no lock that Handler.Closed needs, and is not the connection's own handler: netpoll closes only once what reads on
-// the connection has returned.
+// CloseAndWait closes the connection and returns when Handler.Closed has returned; from then on its limiter can admit
+// another connection. The caller must not hold a lock that Handler.Closed acquires, and must not be the connection's
+// own handler: netpoll closes a connection only once its read callback has returned.
 func (c *Conn) CloseAndWait() {
 	c.mu.Lock()
 	c.closed = true
@@ -40,25 +40,25 @@
 	<-c.done
 }
 
-// Abort closes the connection at once and discards what the system has not sent yet; done is called, on a goroutine of its
-// own, when the socket is closed. Guards against bytes that were written toward a machine behind a network partition: they
-// would arrive when it is over, long after what they requested was given up.
+// Abort closes the connection immediately and discards what the kernel has not sent yet; done is called, on its own
+// goroutine, when the socket is closed. Without the discard, requests written to a server behind a network partition
+// would arrive when the partition heals, long after they were canceled.
 func (c *Conn) Abort(cause error, done func()) {
 	c.mu.Lock()
 	c.markClosed(cause)
-	if conn, ok := c.socket.(netpoll.Conn); ok && !c.ended {
-		// Without it the system goes on sending after the close. Where it fails, a plain close is all there is.
+	if conn, ok := c.socket.(netpoll.Conn); ok && !c.fdReleased {
+		// A zero linger time discards unsent data at the close. If setting it fails, the close is a plain one.
 		_ = syscall.SetsockoptLinger(conn.Fd(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 	}
 	c.mu.Unlock()
 	go func() {
 		c.closeSocket()
-		<-c.done // netpoll closes only once what reads on the connection has returned
+		<-c.done // netpoll closes only once the connection's read callback has returned
 		done()
 	}()
 }
 
-// markClosed is called with the lock held.
+// markClosed records the close, and its cause unless one is recorded already. It is called with the lock held.
 func (c *Conn) markClosed(cause error) {
 	c.closed = true
 	if c.cause == nil {
@@ -66,12 +66,12 @@
 	}
 }
 
-// closeSocket has netpoll close the connection, which may call Handler.Closed.
+// closeSocket closes the netpoll connection, which may call Handler.Closed.
 func (c *Conn) closeSocket() {
-	_ = c.socket.Close() // it reports nothing: a connection that has ended is closed already
+	_ = c.socket.Close() // closing a closed connection has no effect
 }
 
-// halfClose ends the direction toward the peer, and closes later: when the peer has closed, or after lingerTimeout.
+// halfClose shuts down the sending direction. The connection is closed when the peer closes, or after lingerTimeout.
 func (c *Conn) halfClose() {
 	if c.shutdownWrite() {
 		time.AfterFunc(lingerTimeout, c.closeSocket)
@@ -80,17 +80,17 @@
 	c.closeSocket()
 }
 
-// shutdownWrite ends the direction toward the peer. It returns false where the connection has ended or cannot be
+// shutdownWrite shuts down the sending direction. It returns false if the connection is closed or cannot be
 // half-closed.
 func (c *Conn) shutdownWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended || c.closed {
+	if c.fdReleased || c.closed {
 		return false
 	}
 	if c.limiter != nil {
-		// Before the peer can know, or it may come again and find no capacity; and under the lock: the connection's end, which
-		// takes it off the limiter's list, comes after.
+		// Before the shutdown, or the peer could see it, reconnect, and find no capacity. With the lock held, so that
+		// handleClosed, which removes the connection from the limiter's list, runs after it was added.
 		c.limiter.addLingering(c)
 	}
 	if conn, ok := c.socket.(netpoll.Conn); ok {
@@ -99,12 +99,12 @@
 	return true
 }
 
-// PeerClosed asks the system whether the peer has closed its direction of the connection, and reports whether it has, or
-// the connection has ended: Handler.Closed may still be to come, behind whatever else the process has to do.
+// PeerClosed reports whether the connection is closed, or the peer has closed its sending direction. It queries the
+// kernel, because the call of Handler.Closed may be delayed while the process is busy.
 func (c *Conn) PeerClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.ended {
+	if c.closed || c.fdReleased {
 		return true
 	}
 	conn, ok := c.socket.(netpoll.Conn)
@@ -112,7 +112,7 @@
 		return false
 	}
 	polled := []unix.PollFd{{Fd: int32(conn.Fd()), Events: unix.POLLRDHUP}}
-	// Where the system does not answer, or is interrupted, Handler.Closed is to tell.
+	// If poll fails or is interrupted, the caller relies on Handler.Closed.
 	ready, err := unix.Poll(polled, 0)
 	const ended = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	return err == nil && ready > 0 && polled[0].Revents&ended != 0
--- a/internal/net/tcp/conn.go
+++ b/internal/net/tcp/conn.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	writeTimeout   = 2 * time.Second // of one write: a peer that takes nothing for so long is given up
-	maxQueuedBytes = 1 << 20         // that wait to be written on one connection
+	writeTimeout   = 2 * time.Second // of one write; the connection is closed when it elapses
+	maxQueuedBytes = 1 << 20         // waiting to be written on one connection
 	lingerTimeout  = time.Second     // for the peer to close after CloseGracefully
 )
 
-// ErrSlowReader is the cause that ends a connection whose peer does not read what is sent to it.
+// ErrSlowReader is the cause of closing a connection whose peer does not read: more than maxQueuedBytes are queued for
+// it.
 var ErrSlowReader = errors.New("the peer does not read")
 
-// Handler takes what comes on a connection. Its methods are called one at a time, in order, on goroutines of netpoll's;
-// Closed is called once and last, with the cause that Close or Abort was given, ErrSlowReader, or the error of a write or
-// of a panic; nil: the peer closed the connection. b is valid during the call only. A panic in Data ends the connection,
-// one in Closed is logged; neither ends the program.
+// Handler handles the events of a connection. Its methods are called one at a time, in order, on netpoll's goroutines.
+// Data is called with the bytes that were read; b is valid during the call only. Closed is called once, after all other
+// calls, with the cause that was passed to Close or Abort, ErrSlowReader, or the error of a write or a panic; err is
+// nil if the peer closed the connection. A panic in Data closes the connection, one in Closed is logged; neither ends
+// the process.
 type Handler interface {
 	Data(b []byte)
 	Closed(err error)
 }
 
-// Opener is a Handler that sends first: Opened is called once, before Data, when a connection was accepted.
+// Opener is implemented by a Handler that sends first: Opened is called once, before Data, on an accepted connection.
 type Opener interface{ Opened() }
 
-// Conn is one connection. Its methods may be called by any goroutine and, but for CloseAndWait, do not block.
+// Conn is one connection. Its methods may be called by any goroutine and do not block, except for CloseAndWait.
 type Conn struct {
 	socket  netpoll.Connection
 	peer    net.Addr
 	handler Handler
-	limiter *ConnLimiter // that admitted it; nil: it was dialed
+	limiter *ConnLimiter // that admitted the connection; nil: it was dialed
 
-	endOnce sync.Once
-	done    chan struct{} // closed once the connection has ended and Handler.Closed has returned
+	closeOnce sync.Once
+	done      chan struct{} // closed once the connection is closed and Handler.Closed has returned
 
-	lingering *list.Element // its place on the limiter's list, under the limiter's lock; nil: not listed
+	lingering *list.Element // in the limiter's list, guarded by the limiter's lock; nil: not in it
 
-	mu      sync.Mutex
-	queue   []pendingWrite
-	queued  int  // bytes in queue
-	writing bool // writeQueue runs
-	closed  bool // by this side, or ended
-	ended   bool // the descriptor may be another connection's from now on
-	closing bool // CloseGracefully was called: no further write, and half-close once the queue is empty
-	cause   error
+	mu         sync.Mutex
+	queue      []pendingWrite
+	queued     int  // bytes in queue
+	writing    bool // writeQueue is running
+	closed     bool // by either side, or broken
+	fdReleased bool // the descriptor may belong to another connection by now
+	closing    bool // CloseGracefully was called: reject further writes, and half-close once the queue is empty
+	cause      error
 }
 
 // Peer returns the address of the other side.
 func (c *Conn) Peer() string { return c.peer.String() }
 
-// read passes on what has come. netpoll calls it, one call at a time.
+// read passes the bytes that have arrived to the handler. netpoll calls it, one call at a time.
 func (c *Conn) read() {
 	reader := c.socket.Reader()
 	n := reader.Len()
@@ -69,14 +71,14 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = reader.Release() }() // it fails on a connection that has ended, whose buffers go with it
+	defer func() { _ = reader.Release() }() // fails on a closed connection, whose buffers are released anyway
 	c.mu.Lock()
 	drop := c.closed || c.closing
 	c.mu.Unlock()
 	if drop {
 		return
 	}
-	// A panic stops at the connection. The handler's Closed ends what was under way on it.
+	// A panic closes only this connection. The handler's Closed then ends the operations that use it.
 	defer func() {
 		if p := recover(); p != nil {
 			fmt.Fprintf(os.Stderr, "connection %v: panic: %v\n", c.peer, p)
@@ -86,30 +88,31 @@
 	c.handler.Data(b)
 }
 
-// opened lets a handler send first.
+// opened calls the handler's Opened if it implements Opener.
 func (c *Conn) opened() {
 	if opener, ok := c.handler.(Opener); ok {
 		opener.Opened()
 	}
 }
 
-// attach has netpoll report the connection's end.
+// attach registers the callback by which netpoll reports that the connection was closed, and sets the write timeout.
 func (c *Conn) attach() {
-	// Neither call fails on a connection that was just made: their errors are for other kinds of connections.
+	// Neither call fails on a new connection: their errors concern other connection types.
 	_ = c.socket.SetWriteTimeout(writeTimeout)
 	_ = c.socket.AddCloseCallback(func(netpoll.Connection) error {
-		c.end()
+		c.handleClosed()
 		return nil
 	})
 }
 
-// end reports to the handler that the connection has ended. netpoll calls it before it releases the descriptor.
-func (c *Conn) end() {
-	c.endOnce.Do(func() {
+// handleClosed notifies the limiter and the handler that the connection is closed. netpoll calls it before it releases
+// the descriptor.
+func (c *Conn) handleClosed() {
+	c.closeOnce.Do(func() {
 		defer close(c.done)
 		c.mu.Lock()
 		c.closed = true
-		c.ended = true
+		c.fdReleased = true
 		cause := c.cause
 		c.mu.Unlock()
 		if c.limiter != nil {
--- a/internal/net/tcp/dial.go
+++ b/internal/net/tcp/dial.go
@@ -11,11 +11,11 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Dialer opens a connection as Dial does; tests put another in its place.
+// Dialer is the signature of Dial. Tests replace it.
 type Dialer func(addr string, timeout time.Duration, handler func(*Conn) Handler) (*Conn, error)
 
-// Dial opens a connection to addr, host:port. It blocks until the connection is up or timeout is over. handler is called
-// once, to make the handler of the connection. The caller closes the connection.
+// Dial opens a connection to addr, host:port. It blocks until the connection is established or timeout has elapsed.
+// handler is called once and returns the handler of the connection. The caller closes the connection.
 //
 // For protocols in which the server sends first and closes, use DialServerFirst.
 func Dial(addr string, timeout time.Duration, handler func(*Conn) Handler) (*Conn, error) {
@@ -26,28 +26,28 @@
 	return newDialed(socket, socket.RemoteAddr(), handler)
 }
 
-// DialServerFirst is Dial for peers that may send first and close at once, as health-check agents do. Guards what they
-// sent against netpoll's own dialing, which takes a connection that the peer closed before the poller looked at it for one
-// that never came up.
+// DialServerFirst is Dial for peers that may send first and close immediately, as health-check agents do. With
+// netpoll's own dialing, a connection that the peer closes before the poller handles it counts as never established,
+// and the data that the peer sent is lost.
 func DialServerFirst(addr string, timeout time.Duration, handler func(*Conn) Handler) (*Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = conn.Close() }() // netpoll's connection has a descriptor of its own
+	defer func() { _ = conn.Close() }() // netpoll's connection uses the duplicate descriptor
 	fd, err := duplicateDescriptor(conn.(*net.TCPConn))
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
 	socket, err := netpoll.NewFDConnection(fd)
 	if err != nil {
-		_ = syscall.Close(fd) // nothing was sent on it
+		_ = syscall.Close(fd) // nothing was sent
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
 	return newDialed(socket, conn.RemoteAddr(), handler)
 }
 
-// duplicateDescriptor returns a second descriptor of a connection, which the caller closes.
+// duplicateDescriptor returns a duplicate of a connection's descriptor, which the caller closes.
 func duplicateDescriptor(conn *net.TCPConn) (int, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -56,7 +56,7 @@
 	duplicate := -1
 	var duplicateErr error
 	err = raw.Control(func(fd uintptr) {
-		// No child process may be started between the two calls: it would inherit the descriptor.
+		// A child process that is forked between the two calls would inherit the descriptor.
 		syscall.ForkLock.RLock()
 		defer syscall.ForkLock.RUnlock()
 		if duplicate, duplicateErr = syscall.Dup(int(fd)); duplicateErr == nil {
@@ -72,7 +72,7 @@
 	return duplicate, nil
 }
 
-// newDialed makes a Conn of a connection that came up.
+// newDialed creates the Conn of an established connection.
 func newDialed(socket netpoll.Connection, peer net.Addr, handler func(*Conn) Handler) (*Conn, error) {
 	c := &Conn{socket: socket, peer: peer, done: make(chan struct{})}
 	c.handler = handler(c)
@@ -85,7 +85,7 @@
 		c.closeSocket()
 		return nil, err
 	}
-	if !socket.IsActive() { // netpoll does not report an end that came before there was a callback
+	if !socket.IsActive() { // netpoll does not report a close that precedes the registration of the callback
 		go c.closeSocket()
 	}
 	return c, nil
--- a/internal/net/tcp/dial_test.go
+++ b/internal/net/tcp/dial_test.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// A peer that sends first and closes at once is read, however late this side looks. Guards health checks of agents against
-// netpoll's dialing, to which a connection that is closed already when its poller looks never came up.
+// Data of a peer that sends first and closes immediately is read, however much later this side reads. Guards health
+// checks by agents against netpoll's dialing, which reports a connection that is closed before its poller handles it as
+// never established.
 func TestDialServerFirst_PeerSendsAndCloses(t *testing.T) {
 	addr := listenAndServe(t, func(conn *net.TCPConn) {
 		if _, err := io.WriteString(conn, "up drain\n"); err != nil {
 			t.Errorf("send first: %v", err)
 		}
-		_ = conn.Close() // as soon as it has sent
+		_ = conn.Close() // right after sending
 	})
 	var dialers sync.WaitGroup
 	for range 8 {
@@ -42,9 +43,10 @@
 	dialers.Wait()
 }
 
-// A connection that nobody accepts is an error, and so is an address of no meaning.
+// Dialing fails if no socket listens on the address, and if the address is invalid.
 func TestDialServerFirst_UnreachableAddress(t *testing.T) {
-	// The system gives port 1 to nobody; one that a listener has just freed may be another process's by now.
+	// Port 1 is never assigned as an ephemeral port; one that a listener has just freed may be in use by another
+	// process.
 	for name, addr := range map[string]string{"nobody listens": "127.0.0.1:1", "not a port": "127.0.0.1:none"} {
 		t.Run(name, func(t *testing.T) {
 			newHandler := func(*Conn) Handler { return newRecordingHandler() }
@@ -55,12 +57,13 @@
 	}
 }
 
-// Connections that never come up leak no descriptor: those to a listener whose queue is full, whose peers receive nothing.
-// How many come up before that, and whether one does later, is up to the system: each has one descriptor until the end.
+// Failed connection attempts leak no descriptor: here those to a listener whose accept queue is full. How many
+// connections are established before the queue is full, and whether one is established later, depends on the kernel;
+// each of them uses one descriptor until the test ends.
 func TestDial_NeverComesUp_LeaksNoDescriptor(t *testing.T) {
-	const maxComingUp = 20
+	const maxConnected = 20
 	addr := listenWithFullQueue(t)
-	cameUp := 0
+	connected := 0
 	dialUntilFailed := func() {
 		t.Helper()
 		for {
@@ -69,23 +72,24 @@
 				return
 			}
 			t.Cleanup(c.CloseAndWait)
-			cameUp++
-			if cameUp > maxComingUp {
-				t.Fatal("the queue takes whatever comes")
+			connected++
+			if connected > maxConnected {
+				t.Fatalf("%d connections were established: the accept queue does not fill up", connected)
 			}
 		}
 	}
 	dialUntilFailed()
-	before := openDescriptors(t) - cameUp
+	before := openDescriptors(t) - connected
 	for range 10 {
 		dialUntilFailed()
 	}
-	if after := openDescriptors(t) - cameUp; after > before {
-		t.Errorf("%d descriptors beside those of connections that came up, %d before", after, before)
+	if after := openDescriptors(t) - connected; after > before {
+		t.Errorf("%d descriptors beside those of established connections, %d before", after, before)
 	}
 }
 
-// listenWithFullQueue listens, accepts nothing and has the shortest queue that there is. It returns the address.
+// listenWithFullQueue opens a socket that listens with the shortest accept queue and never accepts. It returns its
+// address.
 func listenWithFullQueue(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/net/tcp/doc.go
+++ b/internal/net/tcp/doc.go
@@ -1,4 +1,4 @@
-// Package tcp serves TCP connections on netpoll. A Conn queues what is written to it, without ever blocking its caller, and
-// reports of each write how far it came, so that the caller knows whether what it sent may have arrived. A Handler takes
-// what is read. Listen accepts connections, as many as a ConnLimiter admits; Dial and DialServerFirst open them.
+// Package tcp serves TCP connections on netpoll. A Conn queues writes without blocking the caller and reports how much
+// of each write was sent, so that the caller knows whether the peer may have received it. A Handler receives the data
+// that is read. Listen accepts connections up to the limit of a ConnLimiter; Dial and DialServerFirst open connections.
 package tcp
--- a/internal/net/tcp/helpers_test.go
+++ b/internal/net/tcp/helpers_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { leakcheck.Main(m) }
 
-// recordingHandler keeps what was read and closes closed at the connection's end.
+// recordingHandler records the data that was read, and closes the channel closed when the connection is closed.
 type recordingHandler struct {
 	text   []byte
 	closed chan struct{}
@@ -21,19 +21,19 @@
 func (h *recordingHandler) Data(b []byte) { h.text = append(h.text, b...) }
 func (h *recordingHandler) Closed(error)  { close(h.closed) }
 
-// listen opens a listener of the standard library until the test ends.
+// listen opens a listener of the standard library, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // nothing is accepted any more
+	t.Cleanup(func() { _ = listener.Close() }) // no connection is accepted after the test
 	return listener
 }
 
-// listenAndServe passes each connection of a new listener to serve, one after the other, until the test ends. It returns
-// the listener's address.
+// listenAndServe passes the connections of a new listener to serve, one at a time, until the test ends. It returns the
+// listener's address.
 func listenAndServe(t *testing.T, serve func(*net.TCPConn)) (addr string) {
 	t.Helper()
 	listener := listen(t)
@@ -49,13 +49,13 @@
 	return listener.Addr().String()
 }
 
-// connect returns a connection and its peer. before, if set, is called when something was read, before the handler.
+// connect returns a connection and its peer. before, if set, is called before the handler's Data.
 func connect(t *testing.T, before func()) (*Conn, *net.TCPConn, *recordingHandler) {
 	t.Helper()
 	listener := listen(t)
 	h := newRecordingHandler()
-	// Not by Dial: among connections that end at the same time netpoll's dialing says of one in some thousands that its
-	// peer has closed it, when nobody has.
+	// Not Dial: while other connections are being closed, netpoll's dialing falsely reports one in some thousands of
+	// new connections as closed by the peer.
 	newHandler := func(*Conn) Handler { return hookedHandler{h, before} }
 	c, err := DialServerFirst(listener.Addr().String(), time.Minute, newHandler)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return c, peer.(*net.TCPConn), h
 }
 
-// hookedHandler calls before when something was read.
+// hookedHandler calls before, if set, ahead of the handler's Data.
 type hookedHandler struct {
 	Handler
 	before func()
--- a/internal/net/tcp/limiter.go
+++ b/internal/net/tcp/limiter.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	maxEvictions = 4 // connections that may be closed to admit a new one
+	maxEvictions = 4 // connections that may be closed to admit one new connection
 	maxWaiting   = 8 // connections beyond Max that may wait to be admitted
 )
 
-// ConnLimiter caps the connections that servers hold together. Guards the limit on sockets. Set its fields before the
-// first Listen.
+// ConnLimiter caps the total number of connections of the servers that share it, so that the process stays within its
+// limit on sockets. Set its fields before the first Listen.
 type ConnLimiter struct {
-	// Max is how many connections are admitted at the same time.
+	// Max is the maximum number of open connections.
 	Max int
 
-	// Evict, if set, is called when no connection that lingers is left to close. It closes some connection before it
-	// returns, or returns false: none may be closed. It may be called by several goroutines at once.
+	// Evict, if set, is called when the limit is reached and no lingering connection is left to close. It closes a
+	// connection before it returns, or returns false if none may be closed. It may be called by several goroutines at
+	// once.
 	Evict func() bool
 
-	// AdmitTimeout is how long a connection that finds no place waits for another one to end or to linger; 0: it is closed
-	// at once. It is for listeners whose connections end soon by themselves. At most maxWaiting wait, beyond Max.
+	// AdmitTimeout is how long a new connection waits, when the limit is reached, for another one to be closed or to
+	// linger; 0: it is closed immediately. It is for listeners with short-lived connections. At most maxWaiting
+	// connections wait, in addition to Max.
 	AdmitTimeout time.Duration
 
 	mu        sync.Mutex
 	waiting   int
-	changed   chan struct{} // closed when a connection ends or begins to linger; nil: nobody waits for that
+	changed   chan struct{} // closed when a connection is closed or begins to linger; nil: no goroutine waits for it
 	open      int
-	lingering list.List // of *Conn that only wait for their peers to close, oldest first
+	lingering list.List // of half-closed *Conn that wait for their peers to close, oldest first
 }
 
-// StopAdmitting rejects every new connection from now on.
+// StopAdmitting makes the limiter reject every new connection from now on.
 func (l *ConnLimiter) StopAdmitting() {
 	l.mu.Lock()
 	l.Max = 0
@@ -40,8 +42,8 @@
 	l.mu.Unlock()
 }
 
-// admit counts a new connection, where need be after others were closed for it. It returns false where the new one is to
-// be closed.
+// admit counts a new connection, after closing others if the limit is reached. It returns false if the new connection
+// is rejected.
 func (l *ConnLimiter) admit() bool {
 	for evictions := 0; ; evictions++ {
 		l.mu.Lock()
@@ -61,8 +63,8 @@
 	}
 }
 
-// admitLater waits until a connection that admit has rejected can be admitted, for AdmitTimeout at most. It blocks: the
-// caller is not on the poller.
+// admitLater waits up to AdmitTimeout until a connection that admit has rejected can be admitted. It blocks, so it must
+// not be called on the poller.
 func (l *ConnLimiter) admitLater() bool {
 	if !l.beginWaiting() {
 		return false
@@ -71,7 +73,7 @@
 	timeout := time.NewTimer(l.AdmitTimeout)
 	defer timeout.Stop()
 	for {
-		changed := l.nextChange() // before the attempt, or a change right after it would be missed
+		changed := l.nextChange() // before admit, or a change right after it would be missed
 		if l.admit() {
 			return true
 		}
@@ -99,7 +101,7 @@
 	l.mu.Unlock()
 }
 
-// nextChange returns a channel that is closed when a connection ends or begins to linger.
+// nextChange returns a channel that is closed when a connection is closed or begins to linger.
 func (l *ConnLimiter) nextChange() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +111,7 @@
 	return l.changed
 }
 
-// notifyChange wakes those that wait. It is called with the lock held.
+// notifyChange wakes the connections that wait to be admitted. It is called with the lock held.
 func (l *ConnLimiter) notifyChange() {
 	if l.changed != nil {
 		close(l.changed)
@@ -117,7 +119,7 @@
 	}
 }
 
-// release uncounts a connection that has ended.
+// release removes a closed connection from the count and from the lingering list.
 func (l *ConnLimiter) release(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,8 @@
 	}
 }
 
-// addLingering notes that a connection only waits for its peer to close: it is the first to be closed for others.
+// addLingering records that a connection only waits for its peer to close. Lingering connections are the first to be
+// closed in favor of new ones.
 func (l *ConnLimiter) addLingering(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +140,7 @@
 	l.notifyChange()
 }
 
-// closeOldestLingering closes the connection that has waited longest for its peer to close, and says whether there was one.
+// closeOldestLingering closes the connection that has lingered longest, and reports whether there was one.
 func (l *ConnLimiter) closeOldestLingering() bool {
 	l.mu.Lock()
 	oldest := l.lingering.Front()
--- a/internal/net/tcp/listen.go
+++ b/internal/net/tcp/listen.go
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// shutdownTimeout is how long Server.Close waits for connections whose handlers are at work.
+// shutdownTimeout is how long Server.Close waits for connections whose handlers are running.
 const shutdownTimeout = 100 * time.Millisecond
 
 // Server accepts connections on one address.
@@ -17,17 +17,17 @@
 	loop     netpoll.EventLoop
 }
 
-// connKey is the key under which a connection's context holds its *Conn; there is none where it was not admitted.
+// connKey is the context key of a connection's *Conn. The context of a connection that was not admitted has no *Conn.
 type connKey struct{}
 
-// Listen listens on addr, host:port, and serves each connection that limiter admits with the handler that accept makes of
-// it. accept may be called on the poller and must not block. The caller closes the server.
+// Listen listens on addr, host:port, and serves each connection that limiter admits with the handler that accept
+// returns. accept may be called on the poller and must not block. The caller closes the server.
 func Listen(addr string, limiter *ConnLimiter, accept func(*Conn) Handler) (*Server, error) {
 	return openServer(&net.ListenConfig{}, addr, limiter, accept)
 }
 
-// ListenShared is Listen on an address on which another process of the same user may listen, too, if it also shares it:
-// new connections go to either. For processes that replace each other.
+// ListenShared is Listen with SO_REUSEPORT: another process of the same user may listen on the same address if it sets
+// the option, too, and new connections go to either process. It lets a new process take over from a running one.
 func ListenShared(addr string, limiter *ConnLimiter, accept func(*Conn) Handler) (*Server, error) {
 	return openServer(&net.ListenConfig{Control: ReusePort}, addr, limiter, accept)
 }
@@ -39,8 +39,8 @@
 	if err != nil {
 		return nil, err
 	}
-	converted, err := netpoll.ConvertListener(opened) // with a descriptor of its own
-	_ = opened.Close()                                // the socket stays with the other descriptor
+	converted, err := netpoll.ConvertListener(opened) // duplicates the descriptor
+	_ = opened.Close()                                // the duplicate keeps the socket open
 	if err != nil {
 		return nil, err
 	}
@@ -57,30 +57,31 @@
 		_ = listener.Close() // nothing was accepted
 		return nil, err
 	}
-	// Close ends the goroutine; the loop's error is that of a listener that was closed.
+	// Server.Close ends the goroutine; the error of Serve only states that the listener was closed.
 	go func() { _ = loop.Serve(listener) }()
 	return &Server{listener: listener, loop: loop}, nil
 }
 
-// prepare makes a Conn of a connection that was accepted, before anything is read on it. It runs on the poller.
+// prepare creates the Conn of an accepted connection before anything is read from it. It runs on the poller.
 func prepare(socket netpoll.Connection, limiter *ConnLimiter, accept func(*Conn) Handler) context.Context {
 	if !limiter.admit() {
-		return context.Background() // for onConnect to admit later, or to close, once it is registered
+		return context.Background() // onConnect admits it later or closes it, once it is registered with the poller
 	}
 	return withConn(newConn(socket, limiter, accept))
 }
 
-// onConnect lets a handler send first. It runs off the poller, so that a connection that was not admitted may wait here.
+// onConnect calls the handler's Opened, if it has one. It does not run on the poller, so a connection that was not
+// admitted may wait here until it is.
 func onConnect(
 	ctx context.Context, socket netpoll.Connection, limiter *ConnLimiter, accept func(*Conn) Handler,
 ) context.Context {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		if !limiter.admitLater() {
-			_ = socket.Close() // it was not admitted
+			_ = socket.Close() // not admitted
 			return ctx
 		}
-		// If it ended while it waited, netpoll reports that once this call has returned.
+		// If it was closed during the wait, netpoll reports that once this call has returned.
 		c = newConn(socket, limiter, accept)
 		ctx = withConn(c)
 	}
@@ -88,7 +89,7 @@
 	return ctx
 }
 
-// newConn makes a Conn of a connection that the limiter has admitted.
+// newConn creates the Conn of a connection that the limiter has admitted.
 func newConn(socket netpoll.Connection, limiter *ConnLimiter, accept func(*Conn) Handler) *Conn {
 	c := &Conn{socket: socket, peer: socket.RemoteAddr(), limiter: limiter, done: make(chan struct{})}
 	c.handler = accept(c)
@@ -108,9 +109,9 @@
 // Addr returns the address that the server listens on, host:port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops accepting. Connections whose handlers are at work have a moment to end.
+// Close stops accepting and waits up to shutdownTimeout for connections whose handlers are running.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx) // it fails where connections are left, which end with the process
+	_ = s.loop.Shutdown(ctx) // fails if connections are still open; they are closed when the process exits
 }
--- a/internal/net/tcp/races_test.go
+++ b/internal/net/tcp/races_test.go
@@ -14,27 +14,27 @@
 
 // Writes and closes in forced orders, on real connections (docs/crossings.md).
 
-// What waits behind another write until its time is over never leaves, and says so; what has time leaves. Guards a request
-// that was decided for now against being sent seconds later, to a server that drains by then.
+// A deferred write that expires behind another write is not sent and is reported as expired; one that has not expired
+// is sent. Guards against sending a request seconds after its server was chosen: the server may be draining by then.
 func TestConn_WriteLate_Expires(t *testing.T) {
 	c, peer, _ := connect(t, nil)
 	held, release, results := make(chan struct{}), make(chan struct{}), make(chan WriteResult, 3)
-	c.Write([]byte("first "), func(WriteResult) { // whatever is queued now waits behind it
+	c.Write([]byte("first "), func(WriteResult) { // blocks the writes that are queued after it
 		close(held)
 		<-release
 	})
 	<-held
-	late := func(within time.Duration, text []byte) {
+	writeDeferred := func(within time.Duration, text []byte) {
 		write := DeferredWrite{Size: len(text), Within: within, Bytes: func(time.Time) []byte { return text }}
 		c.WriteDeferred(write, func(r WriteResult) { results <- r })
 	}
-	late(1, []byte("late "))
-	late(time.Hour, nil) // of no use any more when its turn comes
-	late(time.Hour, []byte("good"))
+	writeDeferred(1, []byte("late "))
+	writeDeferred(time.Hour, nil) // no longer needed when it is to be sent
+	writeDeferred(time.Hour, []byte("good"))
 	close(release)
 	if expired, unused, good := <-results, <-results, <-results; expired != WriteExpired || unused != WriteExpired ||
 		good != WriteComplete {
-		t.Errorf("late: %v, of no use: %v, good: %v", expired, unused, good)
+		t.Errorf("expired: %v, no longer needed: %v, in time: %v", expired, unused, good)
 	}
 	c.CloseGracefully()
 	if text, err := io.ReadAll(peer); string(text) != "first good" || err != nil {
@@ -42,7 +42,8 @@
 	}
 }
 
-// An abort is done when the socket is closed, and that waits for whoever reads on the connection. The peer sees a reset.
+// Abort calls done when the socket is closed, which is after a running read callback has returned. The peer sees a
+// reset.
 func TestConn_Abort_WhileReading(t *testing.T) {
 	var mu sync.Mutex
 	var order []string
@@ -61,16 +62,16 @@
 		t.Fatal(err)
 	}
 	<-reading
-	c.Abort(errors.New("given up"), func() {
+	c.Abort(errors.New("canceled"), func() {
 		note("done")
 		close(done)
 	})
 	results := make(chan WriteResult)
-	c.Write([]byte("for nobody"), func(r WriteResult) { results <- r })
+	c.Write([]byte("after the abort"), func(r WriteResult) { results <- r })
 	if r := <-results; r != WriteNone {
 		t.Errorf("written after the abort: %v", r)
 	}
-	select { // nothing hangs on how long this is: a correct connection passes whatever it is
+	select { // the duration does not matter for the result: a correct connection passes with any
 	case <-done:
 		t.Error("done while the socket is open")
 	case <-time.After(100 * time.Millisecond):
@@ -86,11 +87,11 @@
 	}
 }
 
-// A peer that resets the connection while this side writes ends the connection, and each write is reported once. Guards
-// the program against a write into buffers that netpoll has released at the connection's end.
+// If the peer resets the connection while this side writes, the connection is closed and each write is reported once.
+// Guards against writing into buffers that netpoll has released when the connection was closed.
 func TestConn_Write_WhilePeerResets(t *testing.T) {
 	addr := listenAndServe(t, func(conn *net.TCPConn) {
-		_ = conn.SetLinger(0) // a reset in place of a close; where it fails, the test sees a close
+		_ = conn.SetLinger(0) // the close sends a reset; if this fails, the test sees an orderly close
 		_ = conn.Close()
 	})
 	var dialers sync.WaitGroup
@@ -101,21 +102,22 @@
 				h := newRecordingHandler()
 				c, err := DialServerFirst(addr, time.Minute, func(*Conn) Handler { return h })
 				if err != nil {
-					continue // the reset came before the connection was made
+					continue // the reset arrived before the connection was established
 				}
 				connected.Add(1)
-				writeToItsEnd(t, c, h)
+				writeUntilClosed(t, c, h)
 			}
 		})
 	}
 	dialers.Wait()
 	if connected.Load() == 0 {
-		t.Error("no connection was made: nothing was tried")
+		t.Error("no connection was established: nothing was tested")
 	}
 }
 
-// writeToItsEnd writes on a connection that its peer ends, and checks that each write is reported once, and the end.
-func writeToItsEnd(t *testing.T, c *Conn, h *recordingHandler) {
+// writeUntilClosed writes on a connection that its peer resets, and checks that each write is reported once and that
+// the handler is notified of the close.
+func writeUntilClosed(t *testing.T, c *Conn, h *recordingHandler) {
 	t.Helper()
 	const writes = 20
 	results := make(chan WriteResult, 2*writes)
@@ -133,19 +135,20 @@
 	}
 }
 
-// An abort of a connection that its peer closes at the same time is done all the same, once.
+// Abort calls done exactly once if the peer closes the connection at the same time.
 func TestConn_Abort_WhilePeerCloses(t *testing.T) {
 	for range 50 {
 		c, peer, h := connect(t, nil)
 		done := make(chan struct{})
-		go func() { _ = peer.Close() }() // the abort may come first; the test's cleanup waits for the connection's end
+		go func() { _ = peer.Close() }() // the abort may be first; the test's cleanup waits for the close
 		c.Abort(nil, func() { close(done) })
 		<-done
 		<-h.closed
 	}
 }
 
-// Connections that only wait for their peers to close are the first to be closed for others: they hold up nobody.
+// Connections that only wait for their peers to close are the first to be closed in favor of new ones, so they do not
+// keep new connections from being admitted.
 func TestConnLimiter_ClosesLingeringFirst(t *testing.T) {
 	accepted := make(chan *Conn, 10)
 	limiter := &ConnLimiter{Max: 1}
@@ -172,7 +175,7 @@
 		}
 		if previous != nil {
 			if _, err := previous.Read(make([]byte, 1)); err == nil {
-				t.Fatal("the connection before it goes on")
+				t.Fatal("the previous connection is still open")
 			}
 		}
 		previous = client
@@ -184,8 +187,8 @@
 	}
 }
 
-// fullListener returns a listener of one connection, which is open, and the connections that it accepts. An arrival waits
-// for admitTimeout.
+// fullListener returns a listener with a limit of one connection, that connection, which is open, and a channel of the
+// connections that it accepts. Further connections wait up to admitTimeout to be admitted.
 func fullListener(
 	t *testing.T, admitTimeout time.Duration,
 ) (s *Server, limiter *ConnLimiter, first *Conn, accepted chan acceptedConn) {
@@ -221,23 +224,24 @@
 	return client
 }
 
-// awaitWaiting returns once so many connections wait to be admitted.
+// awaitWaiting returns once n connections wait to be admitted.
 func (l *ConnLimiter) awaitWaiting(t *testing.T, n int) {
 	t.Helper()
-	for giveUp := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		waiting := l.waiting
 		l.mu.Unlock()
 		if waiting == n {
 			return
 		}
-		if time.Now().After(giveUp) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d connections wait, want %d", waiting, n)
 		}
 	}
 }
 
-// Behind a crowd of connections that are answered and not yet known to linger, an arrival was closed unread.
+// A new connection waits for an open one to be closed or to linger. Guards against closing new connections unread while
+// the open ones have been answered but do not linger yet.
 func TestConnLimiter_ArrivalWaitsForOneThatEnds(t *testing.T) {
 	s, limiter, first, accepted := fullListener(t, time.Minute)
 	second := dialed(t, s)
@@ -267,7 +271,7 @@
 	c.Write([]byte("third"), nil)
 	c.CloseGracefully()
 	if text, err := io.ReadAll(third); string(text) != "third" || err != nil {
-		t.Errorf("the place of one that left is lost: %q, %v", text, err)
+		t.Errorf("the place of the disconnected client was not released: %q, %v", text, err)
 	}
 }
 
@@ -295,7 +299,7 @@
 		t.Error("a connection was admitted beyond the limit")
 	}
 	limiter.mu.Lock()
-	limiter.Max = 1 + maxWaiting // so that those that wait are admitted, and end with their clients
+	limiter.Max = 1 + maxWaiting // so that the waiting connections are admitted, and closed with their clients
 	limiter.notifyChange()
 	limiter.mu.Unlock()
 	for range maxWaiting {
--- a/internal/net/tcp/share.go
+++ b/internal/net/tcp/share.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// acceptDrainTimeout bounds how long StopAccepting waits for connections that are set up and not accepted yet.
+	// acceptDrainTimeout bounds how long StopAccepting waits until the accept queue is empty.
 	acceptDrainTimeout = 200 * time.Millisecond
-	// acceptDrainInterval is the time between two looks at whether there are any.
+	// acceptDrainInterval is the time between two checks of the accept queue.
 	acceptDrainInterval = 200 * time.Microsecond
 )
 
-// ReusePort has a socket share its port with those of other processes that do so (SO_REUSEPORT). It is for
-// net.ListenConfig.Control. Where the system refuses, the socket does not share, and the listening shows whether it can.
+// ReusePort sets SO_REUSEPORT, by which sockets of several processes share a port. It is for net.ListenConfig.Control.
+// It ignores an error of setting the option: the socket then does not share its port, and listening fails if the port
+// is in use.
 func ReusePort(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }
 
-// StopAccepting stops listening and leaves the connections as they are. What the system has set up by then is accepted
-// first: it would be reset. New connections go to whoever else listens on the address.
+// StopAccepting stops listening and leaves open connections as they are. Connections in the accept queue are accepted
+// first, because the kernel would reset them. New connections go to the other processes that listen on the address.
 func (s *Server) StopAccepting() {
 	fd := s.listener.Fd()
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -41,20 +42,21 @@
 			break
 		}
 	}
-	// The number stays taken, by a file on which nothing happens: netpoll goes on using it until the process ends.
+	// netpoll uses the descriptor number until the process exits, so it must not be reused: it is replaced by
+	// /dev/null, which has no events.
 	null, err := os.Open(os.DevNull)
 	if err != nil {
-		return // it goes on listening, as far as the limiter admits
+		return // the server goes on accepting the connections that the limiter admits
 	}
 	defer func() { _ = null.Close() }()
 	_ = unix.Dup3(int(null.Fd()), fd, unix.O_CLOEXEC)
 }
 
-// socketTables are the system's tables of TCP sockets.
+// socketTables are the kernel's tables of TCP sockets.
 var socketTables = []string{"/proc/net/tcp", "/proc/net/tcp6"}
 
-// Listeners is how many sockets of this machine listen on addr, IP:port. Sockets that listen on all addresses do not count.
-// It is 0 where that cannot be found out.
+// Listeners returns the number of sockets on this machine that listen on addr, IP:port. Sockets that listen on all
+// addresses do not count. It returns 0 if addr is invalid or the kernel's tables cannot be read.
 func Listeners(addr string) (count int) {
 	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -71,14 +73,14 @@
 	return count
 }
 
-// Columns of the system's tables of sockets.
+// Columns of the kernel's socket tables, and the state of listening sockets.
 const (
 	localAddressColumn = 1
 	stateColumn        = 3
 	stateListening     = "0A"
 )
 
-// countListeners counts the listening sockets of a table that have an address.
+// countListeners counts the sockets in a table that listen on target.
 func countListeners(table io.Reader, target netip.AddrPort) (count int) {
 	targetText := tableAddress(target)
 	for lines := bufio.NewScanner(table); lines.Scan(); {
@@ -91,8 +93,8 @@
 	return count
 }
 
-// tableAddress is an address as the tables state it: words of four bytes, each with its bytes in the machine's order, which
-// is little-endian, and the port.
+// tableAddress formats an address as the kernel's tables do: in words of four bytes, each in the machine's byte order,
+// which is little-endian, and the port.
 func tableAddress(addr netip.AddrPort) string {
 	bytes := addr.Addr().Unmap().AsSlice()
 	for word := range slices.Chunk(bytes, 4) {
--- a/internal/net/tcp/share_test.go
+++ b/internal/net/tcp/share_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// greeter sends a word on each connection, and ends it.
+// greeter sends a word on its connection and closes it.
 type greeter struct {
 	conn *Conn
 	word string
@@ -45,11 +45,11 @@
 	return string(word)
 }
 
-// Two servers share an address. Once one of them has stopped accepting, all connections go to the other, and none is reset
-// on the way: not those that were set up before either.
+// Two servers share an address. Once one of them has stopped accepting, all new connections go to the other, and none
+// is reset, including those that were established before and not yet accepted.
 func TestServer_StopAccepting(t *testing.T) {
-	former := listenShared(t, "127.0.0.1:0", "former")
-	addr := former.Addr()
+	previous := listenShared(t, "127.0.0.1:0", "previous")
+	addr := previous.Addr()
 	next := listenShared(t, addr, "next")
 	if n := Listeners(addr); n != 2 {
 		t.Errorf("%d sockets listen", n)
@@ -58,8 +58,8 @@
 	for range 100 {
 		words[greeting(t, addr)]++
 	}
-	if words["former"] == 0 || words["next"] == 0 {
-		t.Errorf("shared as %v", words)
+	if words["previous"] == 0 || words["next"] == 0 {
+		t.Errorf("connections by server: %v, want some of each", words)
 	}
 	const clients = 50
 	greeted, begin := make(chan string, clients), make(chan struct{})
@@ -70,21 +70,21 @@
 		}()
 	}
 	close(begin)
-	former.StopAccepting()
+	previous.StopAccepting()
 	for range clients {
-		if word := <-greeted; word != "former" && word != "next" {
+		if word := <-greeted; word != "previous" && word != "next" {
 			t.Errorf("%q", word)
 		}
 	}
 	for range 100 {
 		if word := greeting(t, addr); word != "next" {
-			t.Fatalf("%q after the former server has stopped accepting", word)
+			t.Fatalf("%q after the previous server has stopped accepting", word)
 		}
 	}
 	if n := Listeners(addr); n != 1 {
 		t.Errorf("%d sockets listen", n)
 	}
-	former.Close()
+	previous.Close()
 	next.Close()
 }
 
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if word := greeting(t, s.Addr()); word != "sole" { // it serves by now
+	if word := greeting(t, s.Addr()); word != "sole" { // shows that it serves
 		t.Errorf("%q", word)
 	}
 	if other, err := ListenShared(s.Addr(), &ConnLimiter{}, nil); err == nil {
--- a/internal/net/tcp/write.go
+++ b/internal/net/tcp/write.go
@@ -7,49 +7,51 @@
 	"time"
 )
 
-// WriteResult says how far a write came.
+// WriteResult is the outcome of a write.
 type WriteResult int
 
-// How far a write may have come.
+// Outcomes of a write.
 const (
-	WriteComplete  WriteResult = iota // all of it was handed to the system
-	WriteNone                         // provably no byte of it
-	WriteUncertain                    // it failed on the way: any part of it may arrive
-	WriteExpired                      // no byte of it: it was of no use any more when its turn came
+	WriteComplete  WriteResult = iota // all bytes were handed to the kernel
+	WriteNone                         // no byte was sent, with certainty
+	WriteUncertain                    // the write failed: any part of it may reach the peer
+	WriteExpired                      // no byte was sent: the write expired in the queue, or its Bytes returned nil
 )
 
-// DeferredWrite is a write whose bytes are made when its turn comes, so that what they say of the time is true then.
+// DeferredWrite is a write whose bytes are generated right before they are sent, so that times in them, such as the
+// remaining time, are correct when they are sent.
 type DeferredWrite struct {
-	// Size is about how many bytes it makes: they count among those that are queued.
+	// Size is the approximate number of bytes, which counts toward the limit of queued bytes.
 	Size int
-	// Within is the time within which writing has to begin.
+	// Within is the time within which writing must begin; after that the write expires.
 	Within time.Duration
-	// Bytes makes what is written at now; nil: it is of no use any more. It runs on a goroutine of the connection's, right
-	// before the system call, and must not block.
+	// Bytes returns the bytes to send at now, or nil if they are no longer needed. It runs on the connection's write
+	// goroutine, right before the system call, and must not block.
 	Bytes func(now time.Time) []byte
 }
 
-// pendingWrite is a write that waits in the queue.
+// pendingWrite is a queued write.
 type pendingWrite struct {
 	data     []byte
-	late     func(now time.Time) []byte // makes data; nil: data is there
+	makeData func(now time.Time) []byte // generates data; nil: data is set
 	size     int
-	deadline time.Time         // by which it has to begin; zero: none
-	done     func(WriteResult) // nil: nobody wants to know
+	deadline time.Time         // by which writing must begin; zero: none
+	done     func(WriteResult) // receives the outcome; may be nil
 }
 
-// Write queues bytes, which belong to the connection from then on. done, which may be nil, is called once with how far
-// they came, never on the caller's goroutine. What is written after a close comes to WriteNone.
+// Write queues b and accepts ownership of it. done, which may be nil, is called once with the outcome, never on the
+// caller's goroutine. The outcome of a write after a close is WriteNone.
 func (c *Conn) Write(b []byte, done func(WriteResult)) {
 	c.enqueue(pendingWrite{data: b, size: len(b), done: done})
 }
 
-// WriteDeferred is Write for bytes that are made when their turn comes. What has not begun within its time, or is of no use
-// any more by then, comes to WriteExpired. Guards what was decided for a moment against a peer that reads slowly, and
-// against a process that is held up: its clock has moved on, and those that it was meant for may have left.
+// WriteDeferred is Write for bytes that are generated right before they are sent. The outcome is WriteExpired if
+// writing has not begun within write.Within, or if write.Bytes returns nil. If the peer reads slowly or this process
+// was stalled, this prevents sending a request that is overdue: its decision is outdated, and its client may have
+// disconnected.
 func (c *Conn) WriteDeferred(write DeferredWrite, done func(WriteResult)) {
 	c.enqueue(pendingWrite{
-		late:     write.Bytes,
+		makeData: write.Bytes,
 		size:     write.Size,
 		deadline: time.Now().Add(write.Within),
 		done:     done,
@@ -58,7 +60,7 @@
 
 func (c *Conn) enqueue(pending pendingWrite) {
 	c.mu.Lock()
-	// Guards memory against a peer that sends requests and does not read.
+	// Limits the memory that a peer can use by sending requests without reading the responses.
 	if c.queued+pending.size > maxQueuedBytes && !c.closed {
 		c.closed = true
 		c.cause = ErrSlowReader
@@ -81,8 +83,9 @@
 	}
 }
 
-// writeQueue writes what is queued and returns when the queue is empty. It runs on a goroutine of its own, at most one for
-// each connection. Nobody waits for it: the write time-out bounds it, and a close leaves nothing to write.
+// writeQueue sends the queued writes and returns when the queue is empty. It runs on its own goroutine, at most one for
+// each connection. No other goroutine waits for it: the write timeout bounds each write, and after a close the queued
+// writes end with WriteNone without a system call.
 func (c *Conn) writeQueue() {
 	for {
 		writes := c.takeQueue()
@@ -98,8 +101,8 @@
 	}
 }
 
-// takeQueue empties the queue. Where it is empty already, it ends the writing, and the connection if that was to be closed
-// then.
+// takeQueue removes and returns all queued writes. If there are none, it marks the writing as stopped, and half-closes
+// the connection if CloseGracefully was called.
 func (c *Conn) takeQueue() []pendingWrite {
 	c.mu.Lock()
 	writes := c.queue
@@ -129,28 +132,28 @@
 	if data == nil {
 		return WriteExpired
 	}
-	// Not by Writer: between WriteBinary and Flush netpoll may release the buffers of a connection that ends. Write holds
-	// them until it returns.
+	// Not socket.Writer: netpoll may release the buffers of a connection that is closed between WriteBinary and Flush.
+	// Write retains them until it returns.
 	n, err := c.socket.Write(data)
 	if err == nil {
 		return WriteComplete
 	}
 	c.Close(fmt.Errorf("write: %w", err))
-	// netpoll has taken nothing where the connection had ended before. Only the first system call fails with the other two,
-	// and then it has taken nothing. After any other error a part of it or all of it may be under way.
+	// n is 0 if the connection was already closed. EPIPE and ECONNRESET are returned by the first system call only,
+	// which has then sent nothing. After any other error the peer may receive any part of the data.
 	if n == 0 || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
 		return WriteNone
 	}
 	return WriteUncertain
 }
 
-// bytes are what is written at now; nil: nothing, it is of no use any more.
+// bytes returns the bytes to send at now; nil: the write has expired.
 func (w pendingWrite) bytes(now time.Time) []byte {
 	if !w.deadline.IsZero() && now.After(w.deadline) {
 		return nil
 	}
-	if w.late != nil {
-		return w.late(now)
+	if w.makeData != nil {
+		return w.makeData(now)
 	}
 	return w.data
 }
