--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip carries short datagrams between the aggregators of one tier. It neither reads nor trusts what they hold:
-// that is for the decisions. Datagrams may be lost, late, duplicated or corrupt.
+// Package gossip carries short datagrams between the aggregators of one tier. It neither interprets nor validates
+// their contents; that is left to the receiver. Datagrams may be lost, delayed, duplicated or corrupt.
 package gossip
 
 import (
@@ -17,13 +17,13 @@
 // Stats count datagrams. They may be read by any goroutine.
 type Stats struct {
 	Sent          atomic.Uint64
-	Failed        atomic.Uint64 // sends and receives that the system failed
-	Received      atomic.Uint64 // and passed on
-	TooLong       atomic.Uint64 // not sent, or received and dropped
-	UnknownSender atomic.Uint64 // received from no peer and dropped
+	Failed        atomic.Uint64 // sends and receives that returned an error
+	Received      atomic.Uint64 // received from a peer and passed to Options.Receive
+	TooLong       atomic.Uint64 // longer than allowed: not sent, or received and dropped
+	UnknownSender atomic.Uint64 // received from an address that is not in Options.Peers, and dropped
 }
 
-// Transport sends datagrams to all peers and receives from each. Its methods may be called by any goroutine.
+// Transport sends datagrams to all peers and receives theirs. Its methods may be called by any goroutine.
 type Transport struct {
 	Stats Stats
 
@@ -32,36 +32,37 @@
 	peers     map[netip.AddrPort]bool // true: a peer, false: this aggregator itself
 }
 
-// Options say where a transport listens and sends. Addresses are IP:port.
+// Options configure a Transport. Addresses are IP:port.
 type Options struct {
 	Listen    string
 	Broadcast string   // reaches every aggregator of the tier
 	Peers     []string // every aggregator of the tier, in the order of their numbers
-	OwnIndex  int      // of this aggregator among Peers: its own datagrams are dropped
-	// Receive is called with each datagram of a peer, on a goroutine of the transport's. The datagram is the callee's. It
-	// must not block.
+	OwnIndex  int      // of this aggregator in Peers; its own datagrams are dropped
+	// Receive is called with each datagram of a peer, on the transport's goroutine, and must not block. It may retain
+	// the datagram.
 	Receive func(datagram []byte)
 }
 
-// Open opens a transport. An address that cannot be parsed or used is an error, which names the setting that it stands in.
-// The caller closes the transport.
+// Open opens a transport. If an address cannot be parsed or used, the error names its setting. The caller closes the
+// transport.
 func Open(options Options) (*Transport, error) {
 	listenAddr, err := netip.ParseAddrPort(options.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("peer_listen: %w", err)
+		return nil, fmt.Errorf("peer_listen: want IP:port, not %q: %w", options.Listen, err)
 	}
 	t := &Transport{peers: map[netip.AddrPort]bool{}}
 	if t.broadcast, err = netip.ParseAddrPort(options.Broadcast); err != nil {
-		return nil, fmt.Errorf("peers_all: %w", err)
+		return nil, fmt.Errorf("peers_all: want IP:port, not %q: %w", options.Broadcast, err)
 	}
 	for i, peer := range options.Peers {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return nil, fmt.Errorf("peers: entry %d: %w", i, err)
+			return nil, fmt.Errorf("peers: entry %d: want IP:port, not %q: %w", i, peer, err)
 		}
 		t.peers[addr] = i != options.OwnIndex
 	}
-	// A process that replaces this one listens beside it: each gets a part of the datagrams until one has ended.
+	// The process that replaces this one listens on the same address: until this one exits, each receives a part of the
+	// datagrams.
 	config := net.ListenConfig{Control: tcp.ReusePort}
 	conn, err := config.ListenPacket(context.Background(), "udp4", listenAddr.String())
 	if err != nil {
@@ -75,8 +76,8 @@
 // Addr returns the address that the transport listens on.
 func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Broadcast sends a datagram to all peers. One longer than balance.MaxGossipBytes is counted and not sent; one that the
-// system does not take is counted and lost.
+// Broadcast sends a datagram to all peers. A datagram that is longer than balance.MaxGossipBytes, or cannot be sent, is
+// counted and dropped.
 func (t *Transport) Broadcast(datagram []byte) {
 	if len(datagram) > balance.MaxGossipBytes {
 		t.Stats.TooLong.Add(1)
@@ -89,15 +90,15 @@
 	t.Stats.Sent.Add(1)
 }
 
-// Close ends the transport, and with it the goroutine that receives.
+// Close closes the transport, which ends its receiving goroutine.
 func (t *Transport) Close() {
-	_ = t.conn.Close() // what was sent is on its way; there is nothing to flush
+	_ = t.conn.Close() // UDP has nothing to flush
 }
 
-// receive passes on datagrams until the transport is closed. An error of one datagram, as when a peer's port is closed, is
-// not the end of the others.
+// receive passes on datagrams until the transport is closed. It continues after an error of one datagram, for example
+// when a peer's port is closed.
 func (t *Transport) receive(put func([]byte)) {
-	buf := make([]byte, balance.MaxGossipBytes+1) // one byte more shows what is too long
+	buf := make([]byte, balance.MaxGossipBytes+1) // one extra byte, to detect datagrams that are too long
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/net/gossip/gossip_test.go
+++ b/internal/net/gossip/gossip_test.go
@@ -18,12 +18,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // nothing is read or written any more
+	t.Cleanup(func() { _ = conn.Close() }) // not used after the test
 	return conn, conn.LocalAddr().String()
 }
 
-// Only what a peer sent, and no longer than is allowed, is passed on; all else is counted. A datagram that fails is not
-// the end of the next.
+// Only datagrams of peers that are not too long are passed on. All others are dropped, and counted unless they are the
+// aggregator's own. A dropped datagram does not affect the next one.
 func TestTransport_FiltersAndCounts(t *testing.T) {
 	peer, peerAddr := listenUDP(t)
 	own, ownAddr := listenUDP(t)
