--- a/internal/net/discovery/connection.go
+++ b/internal/net/discovery/connection.go
@@ -16,11 +16,11 @@
 	watchPathFormat = "/v1/servers?stream=1&index=%d"
 )
 
-// watch opens one connection and takes what comes on it until it ends, and returns why it ended; nil: stop was closed.
+// watch opens one connection, handles its responses until the watch ends, and returns the reason; nil: stop was closed.
 func (w *Watcher) watch(stop <-chan struct{}) error {
 	stream := newEventStream(w)
 	nextAddr, err := w.follow(stream, stop)
-	// From here on what still comes on the connection is dropped, so that the next one may begin.
+	// From here on, data that still arrives on the connection is dropped, so that the next connection can be opened.
 	received := stream.abandon()
 	if received {
 		w.reconnector.Succeeded()
@@ -36,8 +36,8 @@
 	return err
 }
 
-// follow connects, sends the requests and waits until the watch ends. Where it ends with errSwitched, nextAddr is the
-// address to switch to.
+// follow connects, sends the requests and waits until the watch ends. If err is errSwitched, nextAddr is the address to
+// switch to.
 func (w *Watcher) follow(stream *eventStream, stop <-chan struct{}) (nextAddr string, err error) {
 	dialed := w.dial(stream)
 	var conn *tcp.Conn
@@ -78,25 +78,25 @@
 	}
 }
 
-// requestChanges opens the watch, from the version that is held.
+// requestChanges opens the watch, from the current version.
 func (w *Watcher) requestChanges(conn *tcp.Conn, stream *eventStream) {
 	w.send(conn, fmt.Sprintf(watchPathFormat, stream.currentVersion()))
 }
 
-// send requests a path. That it cannot be written shows as the end of the connection.
+// send requests a path. A failed write closes the connection, which the stream reports.
 func (w *Watcher) send(conn *tcp.Conn, path string) {
 	conn.Write(http1.Request("GET", path, w.Addr, nil), nil)
 }
 
-// dialResult is the outcome of dialing: one of the two.
+// dialResult is the outcome of dialing: a connection or an error.
 type dialResult struct {
 	conn *tcp.Conn
 	err  error
 }
 
-// dial connects on a goroutine of its own. Guards a switch and the end of the program against waiting for a connection
-// that never comes up. Whoever receives the result owns the connection; nobody waits for the goroutine, which the time-out
-// ends.
+// dial connects on its own goroutine, so that a switch of the address or a stop does not wait for a connection that is
+// never established. The receiver of the result owns the connection. The goroutine ends after connectTimeout at the
+// latest.
 func (w *Watcher) dial(handler tcp.Handler) <-chan dialResult {
 	dialed := make(chan dialResult, 1)
 	go func(addr string) {
@@ -106,8 +106,8 @@
 	return dialed
 }
 
-// closeWhenDialed closes a connection that nobody waits for any more. It runs on a goroutine of its own, which ends with
-// the dialing, after connectTimeout at the latest.
+// closeWhenDialed closes a connection that is no longer needed once it is established. It runs on its own goroutine,
+// which ends with the dialing, after connectTimeout at the latest.
 func closeWhenDialed(dialed <-chan dialResult) {
 	if result := <-dialed; result.conn != nil {
 		result.conn.Close(nil)
--- a/internal/net/discovery/endpoints.go
+++ b/internal/net/discovery/endpoints.go
@@ -12,9 +12,9 @@
 )
 
 // errNoID rejects a list with an entry that cannot be identified.
-var errNoID = errors.New("an entry without an id")
+var errNoID = errors.New("the entry has no id")
 
-// endpointList is the JSON of a complete list or of a watch event, as discovery publishes it.
+// endpointList is the JSON form of a complete list or of a watch event.
 type endpointList struct {
 	Version int64           `json:"version"`
 	Full    bool            `json:"full"` // a complete list; false: changes only
@@ -29,7 +29,7 @@
 	Cell          int     `json:"cell"`
 	State         string  `json:"state"`
 	Weight        float64 `json:"weight"`
-	StartedMillis int64   `json:"started_ms"` // Unix time of the server's start; 0: not known
+	StartedMillis int64   `json:"started_ms"` // Unix time of the server's start; 0: unknown
 }
 
 var endpointStates = map[string]balance.EndpointState{
@@ -38,9 +38,9 @@
 	"DELETED":  balance.Removed,
 }
 
-// Parse decodes a complete list or a watch event and returns its version beside it. zones are the names of the zones, in
-// the order of their indices. An entry whose state is not known counts as draining, so that nothing new is sent there. An
-// error means that text is no such list; nothing of it is to be used then.
+// Parse decodes a complete list or a watch event and returns it with its version. zones are the names of the zones, in
+// the order of their indices. An entry with an unknown state counts as draining, so that no new requests are sent to
+// its server. If text cannot be decoded, or an entry has no id, Parse returns an error and no part of the list.
 func Parse(text []byte, zones []string) (version int64, change aggregator.EndpointsChanged, err error) {
 	var list endpointList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -79,8 +79,8 @@
 	return server
 }
 
-// zoneIndex returns the index of a zone. Some agents name zones by a letter instead of by the configured name: "a" is 0.
-// A name that is neither has the index behind the last zone.
+// zoneIndex returns the index of a zone. Some agents identify a zone by a letter instead of its configured name: "a" is
+// index 0. For any other name it returns len(zones), which is no zone's index.
 func zoneIndex(name string, zones []string) int {
 	if i := slices.Index(zones, name); i >= 0 {
 		return i
--- a/internal/net/discovery/helpers_test.go
+++ b/internal/net/discovery/helpers_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { leakcheck.Main(m) }
 
-// fakeAgent stands in for a discovery service on real connections: each request goes to the test with its connection.
+// fakeAgent is a fake discovery service on real connections: it passes each request to the test with its connection.
 type fakeAgent struct {
 	addr     string
 	requests chan agentRequest
@@ -24,7 +24,7 @@
 
 // agentRequest is one GET of the server list. The test writes the response to its connection.
 type agentRequest struct {
-	query string // what follows /v1/servers
+	query string // the part of the target after /v1/servers
 	net.Conn
 }
 
@@ -32,7 +32,7 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// respond writes a part of the response, in one segment or several as the network likes.
+// respond writes a part of the response. It may arrive in several segments.
 func (r agentRequest) respond(t *testing.T, text string) {
 	t.Helper()
 	if _, err := fmt.Fprint(r.Conn, text); err != nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // it ends the goroutine of accept
+	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine of accept
 	agent := &fakeAgent{addr: listener.Addr().String(), requests: make(chan agentRequest, 10)}
 	go agent.accept(t, listener)
 	return agent
@@ -64,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		t.Cleanup(func() { _ = conn.Close() }) // it ends the goroutine of serve
+		t.Cleanup(func() { _ = conn.Close() }) // ends the goroutine of serve
 		go a.serve(conn)
 	}
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// next returns the next request, which must have this query.
+// next returns the next request and checks its query.
 func (a *fakeAgent) next(t *testing.T, query string) agentRequest {
 	t.Helper()
 	request := <-a.requests
@@ -91,7 +91,7 @@
 	return request
 }
 
-// start runs a watcher until the test ends and returns what it delivers.
+// start runs a watcher until the test ends and returns a channel of the changes that it delivers.
 func start(t *testing.T, w *Watcher) chan aggregator.EndpointsChanged {
 	t.Helper()
 	delivered := make(chan aggregator.EndpointsChanged, 20)
@@ -100,7 +100,7 @@
 		w.Log = t.Logf
 	}
 	if w.After == nil {
-		timers := &patientTimers{logf: w.Log}
+		timers := &immediateReconnect{logf: w.Log}
 		w.Log = timers.log
 		w.After = timers.after
 	}
@@ -116,22 +116,22 @@
 	return delivered
 }
 
-// patience is how long a test waits for the network: a failure, not a verdict.
-const patience = time.Minute
+// testTimeout is how long a test waits for a connection before it fails. It is no bound on the code under test.
+const testTimeout = time.Minute
 
-// patientTimers stands in for time in tests that are not about it: a watch is never found unresponsive, however busy the
-// machine is, and one that has ended is reopened at once. Only the watcher's goroutine calls its methods.
-type patientTimers struct {
+// immediateReconnect replaces the timers of tests that do not test timing: a watch never becomes unresponsive, however
+// busy the machine is, and one that has ended is reopened immediately. Only the watcher's goroutine calls its methods.
+type immediateReconnect struct {
 	logf       func(format string, args ...any)
 	watchEnded bool // so that the next wait is the one before a reconnect
 }
 
-func (p *patientTimers) log(format string, args ...any) {
-	p.watchEnded = strings.HasPrefix(format, "discovery at ") // not where it is switched to another address
+func (p *immediateReconnect) log(format string, args ...any) {
+	p.watchEnded = strings.HasPrefix(format, "discovery at ") // not the line that reports a switch of the address
 	p.logf(format, args...)
 }
 
-func (p *patientTimers) after(time.Duration) <-chan time.Time {
+func (p *immediateReconnect) after(time.Duration) <-chan time.Time {
 	if !p.watchEnded {
 		return nil // never
 	}
@@ -141,20 +141,21 @@
 	return over
 }
 
-// dialPatiently is tcp.Dial without the watcher's time limit, for tests that expect each watch to be opened.
-func dialPatiently(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
-	return tcp.Dial(addr, patience, handler)
+// testDial is tcp.Dial with testTimeout instead of the watcher's timeout, for tests that expect each watch to be
+// opened.
+func testDial(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
+	return tcp.Dial(addr, testTimeout, handler)
 }
 
-// expectServer takes the next list or change, which must hold this server alone.
+// expectServer receives the next list or change and checks that it contains this server only.
 func expectServer(t *testing.T, delivered chan aggregator.EndpointsChanged, kind balance.ListKind, id balance.Replica) {
 	t.Helper()
 	if change := <-delivered; change.Kind != kind || len(change.Servers) != 1 || change.Servers[0].ID != id {
-		t.Errorf("delivered %+v, want %s alone, kind %v", change, id, kind)
+		t.Errorf("delivered %+v, want only %s, kind %v", change, id, kind)
 	}
 }
 
-// indentedList is a list of one server over many lines.
+// indentedList returns the indented JSON of a list of one server.
 func indentedList(version int, full bool, id string) string {
 	const format = `{
   "version": %d,
@@ -171,14 +172,14 @@
 	return fmt.Sprintf(format, version, full, id)
 }
 
-// dialHandler is a tcp.Dialer that lets a test stand between the connections and their handlers.
+// dialHandler returns a tcp.Dialer that wraps the handlers of its connections.
 func dialHandler(wrap func(addr string, handler tcp.Handler) tcp.Handler) tcp.Dialer {
 	return func(addr string, timeout time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
 		return tcp.Dial(addr, timeout, func(conn *tcp.Conn) tcp.Handler { return wrap(addr, handler(conn)) })
 	}
 }
 
-// closeNotifier reports the end of its connection.
+// closeNotifier reports the close of its connection.
 type closeNotifier struct {
 	tcp.Handler
 	closed chan struct{}
@@ -189,7 +190,7 @@
 	c.closed <- struct{}{}
 }
 
-// heldHandler keeps back what was read until the test releases it.
+// heldHandler blocks in Data until the test releases the bytes that were read.
 type heldHandler struct {
 	tcp.Handler
 	arrived, release chan struct{}
@@ -201,27 +202,28 @@
 	h.Handler.Data(b)
 }
 
-// actions records what a watcher does, in order: a wait that begins, or a line that it logs (a string).
+// actions receives the actions of a watcher in order: a wait that begins, or a line that it logs (a string).
 type actions chan any
 
-// wait stands in for time: it is over when the test says so.
+// wait is a fake timer that fires when the test calls fire.
 type wait struct {
 	duration time.Duration
 	deadline time.Time
-	over     chan time.Time
+	fired    chan time.Time
 }
 
-func (w wait) end() { w.over <- time.Time{} }
+func (w wait) fire() { w.fired <- time.Time{} }
 
 func (a actions) after(d time.Duration) <-chan time.Time {
-	begun := wait{duration: d, deadline: time.Now().Add(d), over: make(chan time.Time, 1)}
+	begun := wait{duration: d, deadline: time.Now().Add(d), fired: make(chan time.Time, 1)}
 	a <- begun
-	return begun.over
+	return begun.fired
 }
 
 func (a actions) log(format string, args ...any) { a <- fmt.Sprintf(format, args...) }
 
-// nextReconnect lets all waits of a watch go on until the watch has ended, and returns the wait before the reconnect.
+// nextReconnect lets all waits of a watch continue until the watch has ended, and returns the wait before the
+// reconnect.
 func (a actions) nextReconnect() wait {
 	for {
 		if _, watchEnded := (<-a).(string); watchEnded {
@@ -230,14 +232,14 @@
 	}
 }
 
-// endWaits ends each wait until the watcher logs a line, and returns the waits with that line. A wait that an event
-// interrupted is followed by another.
-func (a actions) endWaits() (ended []wait, logged string) {
+// fireWaits fires each wait until the watcher logs a line, and returns the waits and that line. A wait that is
+// interrupted by an event is followed by another.
+func (a actions) fireWaits() (ended []wait, logged string) {
 	for {
 		switch action := (<-a).(type) {
 		case wait:
 			ended = append(ended, action)
-			action.end()
+			action.fire()
 		case string:
 			return ended, action
 		}
--- a/internal/net/discovery/races_test.go
+++ b/internal/net/discovery/races_test.go
@@ -14,8 +14,9 @@
 
 // Events of discovery in forced orders, on real connections (docs/crossings.md).
 
-// An indented list is one list, complete and streamed alike, cut up anywhere. Guards against a reader of lines: to it the
-// first line is a broken list, and a watch of an agent that indents never delivers anything.
+// An indented list is read as one list, in a response of its own and in a watch, however it is split into chunks.
+// Guards against reading line by line: the first line alone is invalid JSON, and the watch of an agent that indents its
+// lists would never deliver a change.
 func TestWatcher_IndentedLists(t *testing.T) {
 	agent, other := newFakeAgent(t), newFakeAgent(t)
 	w := &Watcher{Addr: agent.addr, Version: 7}
@@ -35,28 +36,28 @@
 	other.next(t, "?stream=1&index=3")
 }
 
-// A watch that is reset resumes from the last complete list: the half of the next one counts for nothing, and what changed
-// meanwhile comes with the next watch. An agent's watch that had lasted is reopened with no wait at all.
+// A watch that is reset in the middle of a change resumes from the last complete one: the partial change is ignored,
+// and the next watch delivers it. A watch of an agent that had delivered a change is reopened without a long wait.
 func TestWatcher_ResetWithinList_Resumes(t *testing.T) {
 	agent := newFakeAgent(t)
-	did := make(actions, 100)
-	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7, Log: did.log, After: did.after, Dial: dialPatiently})
+	events := make(actions, 100)
+	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7, Log: events.log, After: events.after, Dial: testDial})
 	request := agent.next(t, "?stream=1&index=7")
 	request.respond(t, chunkedHead+chunk(indentedList(8, false, "a")))
 	expectServer(t, delivered, balance.ListDelta, "a")
 	next := indentedList(9, false, "b")
 	request.respond(t, chunk(next[:len(next)/2]))
 	reset(t, request.Conn)
-	reconnect := did.nextReconnect()
+	reconnect := events.nextReconnect()
 	if reconnect.duration > 200*time.Millisecond {
 		t.Errorf("a wait of %v before the reconnect", reconnect.duration)
 	}
-	reconnect.end()
+	reconnect.fire()
 	agent.next(t, "?stream=1&index=8").respond(t, chunkedHead+chunk(indentedList(9, false, "b")))
 	expectServer(t, delivered, balance.ListDelta, "b")
 }
 
-// reset closes a connection with a reset instead of an orderly end.
+// reset closes a connection with a TCP reset.
 func reset(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := errors.Join(conn.(*net.TCPConn).SetLinger(0), conn.Close()); err != nil {
@@ -64,22 +65,22 @@
 	}
 }
 
-// A watch that is silent in the middle of a list is unresponsive: it is reopened from the last complete list.
+// A watch that sends nothing more in the middle of a list is unresponsive: it is reopened from the last complete list.
 func TestWatcher_UnresponsiveWithinList_Reconnects(t *testing.T) {
 	agent := newFakeAgent(t)
-	did := make(actions, 100)
-	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7, Log: did.log, After: did.after, Dial: dialPatiently})
+	events := make(actions, 100)
+	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7, Log: events.log, After: events.after, Dial: testDial})
 	request := agent.next(t, "?stream=1&index=7")
 	next := indentedList(9, false, "b")
 	request.respond(t, chunkedHead+chunk(indentedList(8, false, "a")+next[:len(next)/2]))
 	expectServer(t, delivered, balance.ListDelta, "a")
-	if _, logged := did.endWaits(); !strings.Contains(logged, "unresponsive") {
+	if _, logged := events.fireWaits(); !strings.Contains(logged, "unresponsive") {
 		t.Errorf("the watcher logs: %s", logged)
 	}
 	agent.next(t, "?stream=1&index=8")
 }
 
-// Bytes of a list that does not end are no progress: the timer for an unresponsive watch runs on under them.
+// Bytes of an incomplete list do not count as progress: they do not restart the timer for an unresponsive watch.
 func TestEventStream_EndlessList_IsNoProgress(t *testing.T) {
 	s := newEventStream(&Watcher{Put: func(aggregator.Message) {}, received: func() {}, Version: 7})
 	s.framer.MaxBytes = 1 << 10
@@ -111,7 +112,7 @@
 	}
 	for i := 0; ; i++ {
 		if progressed(chunk(`{"version":`)) {
-			t.Fatal("progress by a list that does not end")
+			t.Fatal("an incomplete list counts as progress")
 		}
 		select {
 		case err := <-s.ended:
@@ -122,31 +123,31 @@
 		default:
 		}
 		if i > 1000 {
-			t.Fatal("a list that does not end is held for ever")
+			t.Fatal("an endless list is buffered without a limit")
 		}
 	}
 }
 
-// A switch reaches a watcher that is still connecting, and a connection that comes up for nobody is closed.
-// Nor does stopping wait for a connection.
+// A watcher that is still connecting switches its address immediately, and the connection that is established later is
+// closed. A stop does not wait for a connection either.
 func TestWatcher_SwitchAndStopWhileConnecting(t *testing.T) {
 	old, current := newFakeAgent(t), newFakeAgent(t)
-	dialing, comesUp, closed := make(chan struct{}), make(chan struct{}), make(chan struct{}, 1)
+	dialing, allowConnect, closed := make(chan struct{}), make(chan struct{}), make(chan struct{}, 1)
 	notifying := dialHandler(func(_ string, handler tcp.Handler) tcp.Handler { return closeNotifier{handler, closed} })
 	dial := func(addr string, timeout time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
 		if addr == old.addr {
 			close(dialing)
-			<-comesUp
+			<-allowConnect
 			return notifying(addr, timeout, handler)
 		}
-		return dialPatiently(addr, timeout, handler)
+		return testDial(addr, timeout, handler)
 	}
 	w := &Watcher{Addr: old.addr, Dial: dial}
 	start(t, w)
 	<-dialing
 	w.SwitchTo(current.addr)
-	current.next(t, "") // while the old one still connects
-	close(comesUp)
+	current.next(t, "") // while the old connection is still being established
+	close(allowConnect)
 	<-closed
 	select {
 	case request := <-old.requests:
@@ -154,25 +155,25 @@
 	default:
 	}
 
-	giveUp, done := make(chan struct{}), make(chan struct{})
-	stop, reached := make(chan struct{}), make(chan struct{})
-	neverUp := func(string, time.Duration, func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
-		close(reached)
-		<-giveUp
+	failDial, done := make(chan struct{}), make(chan struct{})
+	stop, dialCalled := make(chan struct{}), make(chan struct{})
+	neverConnects := func(string, time.Duration, func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
+		close(dialCalled)
+		<-failDial
 		return nil, errors.New("never")
 	}
-	stopped := &Watcher{Addr: "127.0.0.1:1", Put: func(aggregator.Message) {}, Log: t.Logf, Dial: neverUp}
+	stopped := &Watcher{Addr: "127.0.0.1:1", Put: func(aggregator.Message) {}, Log: t.Logf, Dial: neverConnects}
 	go func() {
 		stopped.Run(stop, func() {})
 		close(done)
 	}()
-	<-reached
+	<-dialCalled
 	close(stop)
-	<-done // before the connection gives up
-	close(giveUp)
+	<-done // before the dialing fails
+	close(failDial)
 }
 
-// The last event of the old address arrives after the list of the new one: it is dropped.
+// An event of the old address that is handled after the list of the new one is dropped.
 func TestWatcher_EventOfOldAddressAfterSwitch_IsDropped(t *testing.T) {
 	old, current := newFakeAgent(t), newFakeAgent(t)
 	arrived, release, closed := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
@@ -184,7 +185,7 @@
 	})}
 	delivered := start(t, w)
 	old.next(t, "?stream=1&index=7").respond(t, chunkedHead+chunk(indentedList(8, false, "old")))
-	<-arrived // read off the socket, not yet taken
+	<-arrived // read from the socket, not yet handled
 	w.SwitchTo(current.addr)
 	current.next(t, "").respondWithLength(t, "200 OK", indentedList(3, true, "new"))
 	expectServer(t, delivered, balance.ListFull, "new")
@@ -194,8 +195,8 @@
 	expectServer(t, delivered, balance.ListDelta, "newer")
 }
 
-// Changes of an older version than the list that is held are not applied: the complete list is fetched, and counts as it
-// is.
+// A change with an older version than the current list is not applied: the complete list is fetched, and accepted
+// whatever its version.
 func TestWatcher_StaleChange_FetchesFullList(t *testing.T) {
 	agent := newFakeAgent(t)
 	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7})
@@ -205,8 +206,8 @@
 	agent.next(t, "?stream=1&index=5")
 }
 
-// A response without a Content-Length may end in any manner once its list is complete. One that ends within its list
-// brought none, and is requested again.
+// A response without a Content-Length may end in any way once its list is complete. If it ends within the list, the
+// list is requested again.
 func TestWatcher_FullListWithoutContentLength(t *testing.T) {
 	old, current := newFakeAgent(t), newFakeAgent(t)
 	w := &Watcher{Addr: old.addr, Version: 7}
@@ -215,7 +216,7 @@
 	w.SwitchTo(current.addr)
 	respondAndEnd := func(request agentRequest, text string) {
 		request.respond(t, "HTTP/1.1 200 OK\r\n\r\n"+text)
-		// All of it arrives, and then the end: a reset might overtake it.
+		// A half-close, so that all of the text arrives: a reset might discard it.
 		if err := request.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Error(err)
 		}
@@ -227,7 +228,7 @@
 	current.next(t, "?stream=1&index=3")
 }
 
-// A response that is not 200 is rejected by its status, whatever its body looks like.
+// A response with a status other than 200 is rejected, even if its body is a valid list.
 func TestWatcher_BodyOfErrorStatus_IsNoList(t *testing.T) {
 	agent := newFakeAgent(t)
 	delivered := start(t, &Watcher{Addr: agent.addr, Version: 7})
--- a/internal/net/discovery/stream.go
+++ b/internal/net/discovery/stream.go
@@ -11,50 +11,50 @@
 	"rooktrestle/internal/protocol/jsonstream"
 )
 
-// maxListBytes is the length of the longest list or change that is read.
+// maxListBytes is the maximum length of a list or change.
 const maxListBytes = 4 << 20
 
-// Ways in which a response ends before its time.
+// Errors of a response that ends prematurely.
 var (
 	errNoList           = errors.New("the response ended without a list")
-	errWatchEnded       = errors.New("the watch ended")
-	errConnectionClosed = errors.New("the connection was closed")
+	errWatchEnded       = errors.New("the service ended the response of the watch")
+	errConnectionClosed = errors.New("the service closed the connection")
 )
 
-// phase is how far the responses on a connection have come. Connections that need no complete list start in
+// phase is the state of the responses on a connection. A connection that needs no complete list starts in
 // receivingChanges.
 type phase int
 
 const (
-	receivingChanges phase = iota // the response is the watch's
-	awaitingFullList              // the response is to bring the complete list
-	fullListReceived              // it has, and has not ended itself
+	receivingChanges phase = iota // the response is that of the watch
+	awaitingFullList              // the response is expected to contain the complete list
+	fullListReceived              // the complete list was received; the end of its response was not
 )
 
-// eventStream reads the responses of one connection: the complete list, where that comes first, and then the changes. It
-// is the connection's handler; the watcher's goroutine takes its signals and abandons it.
+// eventStream reads the responses of one connection: the complete list, if it was requested, and then the changes. It
+// is the connection's handler; the watcher's goroutine receives its signals, and abandons it at the end of the watch.
 type eventStream struct {
 	watcher *Watcher
 	parser  http1.Parser
 	framer  jsonstream.Framer
 
 	// Signals to the watcher's goroutine. Each has a capacity of 1, and none blocks the connection.
-	progress     chan struct{} // something came that shows that the service is alive
-	fullListDone chan struct{} // the response that brought the complete list has ended: the watch may be opened
-	ended        chan error    // why the connection ended, or is to end
+	progress     chan struct{} // data arrived that shows that the service is responsive
+	fullListDone chan struct{} // the response with the complete list has ended: the watch may be opened
+	ended        chan error    // why the watch ended or must end
 
 	mu    sync.Mutex // guards the following, and Watcher.Version
 	state streamState
 }
 
-// streamState is what an eventStream knows of its connection.
+// streamState is the state of an eventStream.
 type streamState struct {
 	phase phase
-	// sawProgress says that the bytes in hand showed that the service is alive: a response's head, a complete JSON object,
-	// or white space between two objects, which is the heartbeat.
+	// sawProgress reports that the bytes being handled show that the service is responsive: a response's head, a
+	// complete JSON object, or white space between two objects, which is the heartbeat.
 	sawProgress bool
 	received    bool // a list or a change was delivered
-	abandoned   bool // the watcher has gone on, or the response has a status that fails it: whatever comes is dropped
+	abandoned   bool // further data is dropped: the watcher no longer uses the stream, or the status is not 200
 }
 
 func newEventStream(w *Watcher) *eventStream {
@@ -72,14 +72,14 @@
 	return s
 }
 
-// currentVersion returns the version of the list that is held.
+// currentVersion returns the version of the current list.
 func (s *eventStream) currentVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watcher.Version
 }
 
-// abandon drops whatever still comes, and says whether a list or a change was delivered before.
+// abandon makes the stream drop further data, and reports whether a list or a change was delivered before.
 func (s *eventStream) abandon() (received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,16 +87,16 @@
 	return s.state.received
 }
 
-// Data takes bytes off the connection. It implements tcp.Handler.
+// Data handles bytes from the connection. It implements tcp.Handler.
 func (s *eventStream) Data(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.abandoned { // guards the list of a new address against late events of the old one
+	if s.state.abandoned { // delayed events of a previous address must not change the list of the current one
 		return
 	}
 	s.state.sawProgress = false
 	err := s.read(data)
-	// A part of a list is no progress. Guards against a list that goes on and on and never ends.
+	// A part of a list does not count as progress, or an endless list would keep the watch open.
 	if s.state.sawProgress {
 		s.signalProgress()
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// Closed takes the end of the connection. It implements tcp.Handler.
+// Closed handles the close of the connection. It implements tcp.Handler.
 func (s *eventStream) Closed(err error) {
 	if err == nil {
 		err = errConnectionClosed
@@ -120,7 +120,7 @@
 	}
 }
 
-// end reports why the watch is over. Only the first reason counts.
+// end reports why the watch ended. Only the first reason counts.
 func (s *eventStream) end(reason error) {
 	select {
 	case s.ended <- reason:
@@ -128,7 +128,7 @@
 	}
 }
 
-// read parses what has come, and returns why the watch is over; nil: it is not.
+// read parses data, and returns why the watch must end; nil: it continues.
 func (s *eventStream) read(data []byte) error {
 	s.parser.Feed(data)
 	response, err := s.parser.Next()
@@ -150,18 +150,18 @@
 	}
 }
 
-// readHead takes a response's head. The parser calls it.
+// readHead handles a response's head. The parser calls it.
 func (s *eventStream) readHead(response *http1.Message) {
 	s.state.sawProgress = true
 	if response.Status == http.StatusOK {
 		return
 	}
 	s.end(http1.StatusError(response.Status))
-	s.state.abandoned = true // its body is no list, whatever it looks like
+	s.state.abandoned = true // the body of a failed response is not a list, even if it can be parsed as one
 }
 
-// readBody takes a piece of a response's body as it comes. The parser calls it. A list is complete with its last bracket,
-// however the response that it stands in ends.
+// readBody handles the next bytes of a response's body. The parser calls it. A list is complete with its closing
+// bracket, however its response ends.
 func (s *eventStream) readBody(data []byte) error {
 	if s.state.abandoned {
 		return nil
@@ -197,8 +197,8 @@
 		change.Kind = balance.ListFull
 		s.state.phase = fullListReceived
 	}
-	// Guards against an agent that has gone back to an older list: its changes would bring in again what drains. Its
-	// complete list counts, whatever its version: that is how it says so.
+	// An agent that was reset to an older list sends changes that would put draining servers back in service. Its
+	// complete list is accepted whatever its version: that is how an agent announces such a reset.
 	if change.Kind == balance.ListDelta && version < w.Version {
 		return errStaleChange
 	}
--- a/internal/net/discovery/watcher.go
+++ b/internal/net/discovery/watcher.go
@@ -13,71 +13,72 @@
 // Reasons for which a watch ends.
 var (
 	errSwitched     = errors.New("the watch was switched to another address")
-	errUnresponsive = errors.New("the watch is unresponsive")
-	errStaleChange  = errors.New("a change of an older version than the list that is held")
+	errUnresponsive = errors.New("the watch is unresponsive: no complete list, change or heartbeat in time")
+	errStaleChange  = errors.New("a change has an older version than the current list; the complete list is requested")
 )
 
-// defaultRandom stands in for a random number where a Watcher has no source of them.
+// defaultRandom is used instead of a random number if Watcher.Random is nil.
 const defaultRandom = 0.5
 
-// Watcher follows the endpoint list of one discovery service and delivers each change, reconnecting and resuming until it
-// is stopped. Set the exported fields before Run and do not touch them after that; SwitchTo is the only method that may be
-// called while Run runs.
+// Watcher watches the endpoint list of one discovery service and delivers each change, reconnecting and resuming until
+// it is stopped. Set the exported fields before Run and do not access them after that; SwitchTo is the only method that
+// may be called while Run is running.
 type Watcher struct {
 	Addr  string   // host:port of the discovery service; SwitchTo changes it
 	Zones []string // names of the zones, in the order of their indices
 
-	// Version of the list that is held already, which the first watch resumes from; 0: none.
+	// Version of the list that the caller already has, from which the first watch resumes; 0: none.
 	Version int64
 
-	// FleetSize is how many aggregators follow the same discovery service; it spreads their reconnects. 0 counts as 1: an
-	// agent on this machine that nobody else calls.
+	// FleetSize is the number of aggregators that watch the same discovery service; it spreads their reconnects. 0
+	// counts as 1: an agent on this machine that no other aggregator calls.
 	FleetSize int
 
-	// Put delivers a complete list or a change, in the order of their versions. It is called on the goroutine of the
-	// connection with a lock of the watcher held: it must not block and must not call the watcher.
+	// Put receives each complete list and each change, in the order of their versions. It is called on the connection's
+	// goroutine with a lock of the watcher held: it must not block and must not call the watcher.
 	Put func(aggregator.Message)
 
-	// Log writes a line of the log: why a watch ended, and each switch of the address. It is called by Run only.
+	// Log logs why a watch ended, and each switch of the address. It is called by Run only.
 	Log func(format string, args ...any)
 
-	// Random returns a number from 0 to 1, which spreads reconnects. It is called by Run only. nil: always 0.5.
+	// Random returns a number from 0 to 1, which spreads reconnects. It is called by Run only. If it is nil, 0.5 is
+	// used.
 	Random func() float64
 
-	// After starts a timer as time.After does. Tests replace it to decide when a wait ends. nil: time.After.
+	// After starts a timer, like time.After, which is the default. Tests replace it to decide when a wait elapses.
 	After func(time.Duration) <-chan time.Time
 
-	// Dial opens connections. nil: tcp.Dial.
+	// Dial opens connections. The default is tcp.Dial.
 	Dial tcp.Dialer
 
 	received    func()                 // called after each list
 	reconnector *listwatch.Reconnector // used by Run only
 
-	// needsFullList is set while the version that is held need not continue at Addr: the complete list comes first then.
-	// Only Run touches it.
+	// needsFullList is set while the current version may not be valid for changes from Addr: the complete list is then
+	// requested first. Only Run accesses it.
 	needsFullList bool
 
 	switches     chan string // capacity 1: the newest address that was not switched to yet
-	makeSwitches sync.Once   // makes switches, in Run or in SwitchTo, whichever comes first
+	initSwitches sync.Once   // creates switches, in Run or in SwitchTo, whichever is first
 }
 
-// SwitchTo makes the watcher leave its address for another one at once. The complete list is read there before any change
-// counts. It may be called before and during Run, by one goroutine at a time, and does not block.
+// SwitchTo makes the watcher switch immediately to another address, from which it reads the complete list before any
+// change. It may be called before and during Run, by one goroutine at a time, and does not block.
 func (w *Watcher) SwitchTo(addr string) {
 	select {
-	case <-w.pendingSwitch(): // replaced before it was acted upon
+	case <-w.pendingSwitch(): // an address that is replaced before the watcher switched to it
 	default:
 	}
 	w.pendingSwitch() <- addr
 }
 
 func (w *Watcher) pendingSwitch() chan string {
-	w.makeSwitches.Do(func() { w.switches = make(chan string, 1) })
+	w.initSwitches.Do(func() { w.switches = make(chan string, 1) })
 	return w.switches
 }
 
-// Run follows the list and returns once stop is closed; its caller waits for it. received is called after each list or
-// change, on the goroutine that Put is called on, and must not block.
+// Run watches the list and returns once stop is closed; its caller waits for it. received is called after each list or
+// change, on the goroutine that calls Put, and must not block.
 func (w *Watcher) Run(stop <-chan struct{}, received func()) {
 	w.received = received
 	w.reconnector = listwatch.New(listwatch.PlatformConfig(w.FleetSize))
@@ -97,7 +98,7 @@
 			w.Log("discovery at %s: %v", w.Addr, err)
 		}
 		if errors.Is(err, errUnresponsive) {
-			continue // it has waited already
+			continue // the wait until the idle deadline serves as the backoff
 		}
 		if !w.waitToReconnect(stop) {
 			return
@@ -126,8 +127,8 @@
 	return w.Random()
 }
 
-// switchTo changes the address. Guards against a list that is patched with another discovery service's changes: its
-// versions need not continue those that are held.
+// switchTo changes the address. It requests the complete list there, because versions of different discovery services
+// are unrelated: changes of one must not be applied to a list of another.
 func (w *Watcher) switchTo(addr string) {
 	w.Addr = addr
 	w.needsFullList = true
--- a/internal/net/discovery/watcher_test.go
+++ b/internal/net/discovery/watcher_test.go
@@ -22,14 +22,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A watch that ends is reopened from the version that was received last.
+// A watch that ends is reopened from the last version that was received.
 func TestWatcher_ResumesFromLastVersion(t *testing.T) {
 	indices := make(chan string, 10)
 	requests := 0
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		indices <- r.URL.Query().Get("index")
 		requests++
-		// The error is ignored: the client may be gone.
+		// The error is ignored: the client may have disconnected.
 		_, _ = fmt.Fprintf(w, "\n{\"version\":%d,\"full\":%v,\"servers\":[]}\n", 10*requests, requests == 1)
 		w.(http.Flusher).Flush()
 		if requests == 3 {
@@ -47,25 +47,25 @@
 	}
 }
 
-// A watcher that is switched to another address fetches the complete list there before its changes: versions may not
-// continue.
+// A watcher that is switched to another address fetches the complete list there before the changes, because versions of
+// different services are unrelated.
 func TestWatcher_SwitchTo_FetchesFullListFirst(t *testing.T) {
 	requests := make(chan string, 10)
 	serveList := func(name string) string {
 		return serve(t, func(w http.ResponseWriter, r *http.Request) {
 			requests <- name + " " + r.URL.RawQuery
 			if r.URL.RawQuery == "" {
-				// The error is ignored: the client may be gone.
+				// The error is ignored: the client may have disconnected.
 				_, _ = fmt.Fprintf(w, "{\"version\":3,\"full\":true,\n\"servers\":[{\"id\":%q}]}\n", name)
 				return
 			}
-			_, _ = fmt.Fprintf(w, "{\"version\":4,\"full\":false,\"servers\":[{\"id\":%q}]}\n", name) // the same
+			_, _ = fmt.Fprintf(w, "{\"version\":4,\"full\":false,\"servers\":[{\"id\":%q}]}\n", name) // likewise
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		})
 	}
 	w := &Watcher{Addr: serveList("old"), Version: 2}
-	newAddr := serveList("new") // before the watcher starts, so that it is closed after it
+	newAddr := serveList("new") // before the watcher starts, so that the server is closed after the watcher
 	delivered := start(t, w)
 	expect := func(request string, kind balance.ListKind, id balance.Replica) {
 		t.Helper()
@@ -81,9 +81,10 @@
 	expect("new stream=1&index=3", balance.ListDelta, "new")
 }
 
-// An unresponsive watch is reopened at once, and so is one that never sent anything, before 6 s have passed: what it
-// misses counts as notified by then. Guards the rule on draining servers on a day on which discovery is down for seconds:
-// 300 aggregators whose watches had become unresponsive waited up to 11 s more, and sent 1,500 parts to draining servers.
+// A watch that becomes unresponsive, or never sent anything, is reopened within 6 s: after that the aggregator counts
+// as notified of the changes that it missed, and must not send parts to draining servers. Guards against a backoff
+// after an outage of discovery of some seconds: 300 aggregators with unresponsive watches waited up to 11 s more, and
+// sent 1,500 parts to draining servers.
 func TestWatcher_Unresponsive_ReconnectsInTime(t *testing.T) {
 	for name, fleetSize := range map[string]int{"an agent of this machine": 0, "shared by 300 aggregators": 300} {
 		t.Run(name+", after a change", func(t *testing.T) {
@@ -95,13 +96,13 @@
 	}
 }
 
-// testUnresponsive opens watches that end with silence after event, which leaves the version that is held at index.
+// testUnresponsive opens watches that send event and then nothing more. After event the current version is index.
 func testUnresponsive(t *testing.T, fleetSize int, event, index string) {
 	t.Helper()
-	indices, did := make(chan string, 10), make(actions, 100)
+	indices, events := make(chan string, 10), make(actions, 100)
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		indices <- r.URL.Query().Get("index")
-		_, _ = fmt.Fprint(w, event) // the client may be gone
+		_, _ = fmt.Fprint(w, event) // the client may have disconnected
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
@@ -109,10 +110,10 @@
 	delivered := start(t, &Watcher{
 		Addr:      addr,
 		Version:   7,
-		Log:       did.log,
+		Log:       events.log,
 		FleetSize: fleetSize,
-		After:     did.after,
-		Dial:      dialPatiently,
+		After:     events.after,
+		Dial:      testDial,
 	})
 	for attempt, want := range []string{"7", index, index} {
 		if got := <-indices; got != want {
@@ -121,12 +122,12 @@
 		if event != "" {
 			<-delivered
 		}
-		reopened := time.Now() // or later: once the waits have ended
-		waits, logged := did.endWaits()
+		reopened := time.Now() // or later: once the waits have fired
+		waits, logged := events.fireWaits()
 		if !strings.Contains(logged, "unresponsive") || len(waits) == 0 {
 			t.Errorf("watch %d: %v, then %s", attempt, waits, logged)
 		}
-		for _, w := range waits { // an agent that has not answered yet is given a second
+		for _, w := range waits { // a sole aggregator waits at most 1 s for a first response
 			silence := w.deadline.Sub(opened) // at least: the machine may have been slow to open the watch
 			soleWait := fleetSize <= 1 && w.duration <= time.Second
 			inRange := silence >= 3*time.Second && w.duration <= 4500*time.Millisecond
@@ -136,10 +137,11 @@
 		}
 		opened = reopened
 	}
-	<-indices // at once: no wait was ended for it
+	<-indices // immediately: no wait was fired for it
 }
 
-// A rejected call backs off as the fleet's size demands, and where nobody else calls for next to nothing.
+// After a rejected call the watcher backs off according to the fleet size; without other aggregators the backoff is at
+// most 200 ms.
 func TestWatcher_RejectedCall_BacksOff(t *testing.T) {
 	addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	for _, c := range []struct {
@@ -151,22 +153,22 @@
 		{name: "shared by 300 aggregators", fleetSize: 300, min: 7500 * time.Millisecond, max: 30 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			did := make(actions, 100)
-			start(t, &Watcher{Addr: addr, Log: did.log, FleetSize: c.fleetSize, After: did.after, Dial: dialPatiently})
+			events := make(actions, 100)
+			start(t, &Watcher{Addr: addr, Log: events.log, FleetSize: c.fleetSize, After: events.after, Dial: testDial})
 			for rejected := 0; rejected < 3; {
-				logged, ok := (<-did).(string)
+				logged, ok := (<-events).(string)
 				if !ok {
 					continue // the wait for a response
 				}
 				if !strings.Contains(logged, "503") {
 					t.Error(logged)
 				}
-				backoff := (<-did).(wait)
+				backoff := (<-events).(wait)
 				if backoff.duration > c.max || backoff.duration < c.min && c.fleetSize > 0 {
 					t.Errorf("a wait of %v", backoff.duration)
 				}
 				rejected++
-				backoff.end()
+				backoff.fire()
 			}
 		})
 	}
