--- a/internal/net/httpserve/conn.go
+++ b/internal/net/httpserve/conn.go
@@ -11,16 +11,17 @@
 	"rooktrestle/internal/protocol/http1"
 )
 
-// maxPipelinedBytes may wait behind a request that is in flight.
+// maxPipelinedBytes is the maximum number of bytes buffered behind a request in flight.
 const maxPipelinedBytes = http1.MaxBody + http1.MaxHead
 
-// errPipelinedTooMuch ends the connection of a client that goes on sending behind a request that is in flight.
+// errPipelinedTooMuch is the cause of closing the connection of a client that sends more than maxPipelinedBytes behind
+// a request in flight.
 var errPipelinedTooMuch = fmt.Errorf("more than %d bytes sent behind a request in flight", maxPipelinedBytes)
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// serverConn is one client's connection, and its handler. What is sent behind a request in flight waits for the response.
-// A serverConn's lock is never acquired with the server's lock held.
+// serverConn is the connection of one client, and its handler. Requests that arrive while another is in flight wait for
+// its response. A serverConn's lock is never acquired with the server's lock held.
 type serverConn struct {
 	server *Server
 	conn   Conn
@@ -29,14 +30,14 @@
 	parser       http1.Parser
 	firstByteAt  time.Time // of the next request
 	lastReadAt   time.Time
-	current      *Exchange // the request in flight: passed on, and not responded to
-	closed       bool      // by this side, or ended: nothing is read or written any more
+	current      *Exchange // the request in flight: passed to the handler, and not responded to
+	closed       bool      // by either side: nothing more is read or written
 	timer        *time.Timer
 	sentContinue bool // for the next request
-	advancing    bool // advance is on the stack, further up
-	used         bool // a complete request has come
+	advancing    bool // advance is running: a nested call returns at once
+	used         bool // a complete request has arrived
 
-	listing // under the server's lock
+	listPosition // guarded by the server's lock
 }
 
 // startTimer limits the time until the next request is complete; 0: no limit.
@@ -51,7 +52,7 @@
 
 func (c *serverConn) stopTimer() { c.startTimer(0) }
 
-// expire ends the connection as no request was completed in time.
+// expire closes the connection because no complete request arrived in time.
 func (c *serverConn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +67,7 @@
 	c.conn.CloseGracefully()
 }
 
-// shutdown ends the connection unless a request is in flight.
+// shutdown closes the connection unless a request is in flight.
 func (c *serverConn) shutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,19 +82,19 @@
 	}
 }
 
-// rejectAtShutdown responds to a request that comes in during a shutdown, complete or not: nothing was done for it.
+// rejectAtShutdown rejects a request, complete or not, that arrives during a shutdown: it has had no effect.
 func (c *serverConn) rejectAtShutdown() {
 	c.server.count(&c.server.counters.RejectedAtShutdown)
 	c.writeLast(http1.Response(http.StatusServiceUnavailable, true, nil))
 }
 
-// rejectBad responds to what cannot be read. The framing is lost, so the connection ends.
+// rejectBad responds to data that cannot be parsed. The next request's start is unknown, so the connection is closed.
 func (c *serverConn) rejectBad(status int, reason string) {
 	c.server.count(&c.server.counters.BadRequests)
 	c.writeLast(http1.Response(status, true, []byte(reason+"\n"), "Content-Type", "text/plain"))
 }
 
-// writeLast ends the connection with a response.
+// writeLast sends a response and closes the connection.
 func (c *serverConn) writeLast(response []byte) {
 	c.closed = true
 	c.stopTimer()
@@ -111,14 +112,14 @@
 	c.lastReadAt = c.server.now()
 	if !c.parser.Begun() {
 		c.firstByteAt = c.lastReadAt
-		// The time-out of the first request runs from the connection's start. Guards against clients that begin a request and
-		// never complete it.
+		// The timeout of the first request runs from the start of the connection and is not restarted, so that a client
+		// that begins a request and never completes it is disconnected in time.
 		if c.current == nil && (c.used || c.server.timeouts.FirstRequest == 0) {
 			c.startTimer(c.server.timeouts.ReadRequest)
 		}
 	}
 	c.parser.Feed(data)
-	// Guards memory against a client that goes on sending behind a request in flight.
+	// Limits the memory that a client can use by sending behind a request in flight.
 	if c.current != nil && c.parser.Buffered() > maxPipelinedBytes {
 		c.closed = true
 		c.conn.Close(errPipelinedTooMuch)
@@ -127,8 +128,8 @@
 	c.advance()
 }
 
-// advance passes on complete requests, one at a time. It is called with the lock held and releases it while the handler
-// runs, which may respond at once.
+// advance passes complete requests to the handler, one at a time. It is called with the lock held, and releases it
+// while the handler runs, because the handler may respond at once.
 func (c *serverConn) advance() {
 	if c.advancing {
 		return
@@ -152,7 +153,7 @@
 			return
 		}
 		x := &Exchange{Message: request, FirstByteAt: c.firstByteAt, conn: c}
-		c.firstByteAt = c.lastReadAt // of a request that was sent right behind it
+		c.firstByteAt = c.lastReadAt // of a pipelined request that follows this one
 		c.current = x
 		c.stopTimer()
 		c.mu.Unlock()
@@ -178,21 +179,22 @@
 	}
 }
 
-// beginRequest counts a request that is to be passed on. It returns false where the server is shutting down: what is read
-// after that is not passed on.
+// beginRequest counts a request before it is passed to the handler. It returns false if the server is shutting down:
+// the request must then be rejected.
 func (c *serverConn) beginRequest() bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closing {
+	if s.shuttingDown {
 		return false
 	}
 	s.counters.Requests++
-	c.unlist()
+	c.removeFromList()
 	return true
 }
 
-// handle passes a request on. A panic stops there: the client gets a response, and the connection ends.
+// handle passes a request to the handler. It recovers from a panic: the client receives a response with status 500, and
+// the connection is closed.
 func (c *serverConn) handle(x *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -205,7 +207,7 @@
 	c.server.handle(x)
 }
 
-// Closed notifies the owner of the request in flight that its client has gone away. It implements tcp.Handler.
+// Closed notifies the owner of the request in flight that its client has disconnected. It implements tcp.Handler.
 func (c *serverConn) Closed(error) {
 	c.mu.Lock()
 	c.closed = true
@@ -218,7 +220,7 @@
 	c.mu.Unlock()
 	c.server.mu.Lock()
 	delete(c.server.conns, c)
-	c.unlist()
+	c.removeFromList()
 	c.server.mu.Unlock()
 	if onDisconnect != nil {
 		onDisconnect()
--- a/internal/net/httpserve/evict.go
+++ b/internal/net/httpserve/evict.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// EvictIdle closes a connection that has no request in flight, before it returns, and says whether it did. One that was
-// idle for EvictableAfter goes first; with force any idle one may go, and before those one that has not sent a complete
-// request yet. Guards the limit on sockets: against clients that connect and send nothing, and against those that send one
-// request and keep their connection. It is not called by a connection's own handler.
+// EvictIdle closes a connection without a request in flight, and reports whether it did; the connection is closed
+// before it returns. It chooses the connection that has been idle longest if that is at least EvictableAfter.
+// Otherwise, with force, it chooses one that has not sent a complete request yet, and then any idle one. It keeps the
+// process within its limit on sockets if clients connect and send nothing, or keep their connections after one request.
+// It must not be called by a connection's own handler.
 func (s *Server) EvictIdle(force bool) bool {
 	s.mu.Lock()
 	victim := s.evictionCandidate(force)
@@ -16,13 +17,13 @@
 		s.mu.Unlock()
 		return false
 	}
-	victim.unlist()
+	victim.removeFromList()
 	s.counters.Evicted++
 	s.mu.Unlock()
 	return victim.evict()
 }
 
-// evictionCandidate is called with the lock held.
+// evictionCandidate returns the connection to evict next; nil: none. It is called with the lock held.
 func (s *Server) evictionCandidate(force bool) *serverConn {
 	longestIdle := oldest(&s.idle)
 	if longestIdle != nil && s.now().Sub(longestIdle.listedAt) >= s.timeouts.EvictableAfter {
@@ -37,7 +38,7 @@
 	return longestIdle
 }
 
-// oldest returns the connection that was listed first; nil: the list is empty.
+// oldest returns the first connection of a list; nil: the list is empty.
 func oldest(conns *list.List) *serverConn {
 	if conns.Len() == 0 {
 		return nil
@@ -45,31 +46,31 @@
 	return conns.Front().Value.(*serverConn)
 }
 
-// overloaded says whether more connections are kept alive than may be. Connections that were never used do not count:
-// nobody relies on them yet. It is called with the lock held.
+// overloaded reports whether more than MaxKeepAlive connections are open. Connections without a complete request so far
+// do not count: no client relies on them yet. It is called with the lock held.
 func (s *Server) overloaded() bool {
 	return s.MaxKeepAlive > 0 && len(s.conns)-s.unused.Len() > s.MaxKeepAlive
 }
 
-// listing is a connection's place on one of the server's lists, under the server's lock.
-type listing struct {
-	list     *list.List // nil: it is on none
+// listPosition is a connection's position in one of the server's lists, guarded by the server's lock.
+type listPosition struct {
+	list     *list.List // nil: in no list
 	element  *list.Element
 	listedAt time.Time
 }
 
-// enlist puts a connection at the end of a list, and on no other, unless it has ended. It is called with the server's lock
-// held.
-func (c *serverConn) enlist(conns *list.List) {
-	c.unlist()
+// moveToList removes a connection from its list, if any, and appends it to another unless it is closed. It is called
+// with the server's lock held.
+func (c *serverConn) moveToList(conns *list.List) {
+	c.removeFromList()
 	if c.server.conns[c] {
 		c.listedAt, c.list = c.server.now(), conns
 		c.element = conns.PushBack(c)
 	}
 }
 
-// unlist takes a connection off its list. It is called with the server's lock held.
-func (c *serverConn) unlist() {
+// removeFromList removes a connection from its list, if any. It is called with the server's lock held.
+func (c *serverConn) removeFromList() {
 	if c.list != nil {
 		c.list.Remove(c.element)
 		c.list = nil
@@ -77,7 +78,7 @@
 	}
 }
 
-// evict closes the connection, unless a request has come in just now, and says whether it did.
+// evict closes the connection unless a request has just arrived, and reports whether it did.
 func (c *serverConn) evict() bool {
 	c.mu.Lock()
 	busy := c.current != nil
--- a/internal/net/httpserve/exchange.go
+++ b/internal/net/httpserve/exchange.go
@@ -8,22 +8,23 @@
 	"rooktrestle/internal/protocol/http1"
 )
 
-// Exchange is a request and its response. The message is the handler's to read; setting its Close makes the response end
-// the connection.
+// Exchange is a request and its response. The handler may read the message, and set its Close to close the connection
+// after the response.
 type Exchange struct {
 	*http1.Message
-	FirstByteAt time.Time // when the request began to come in
+	FirstByteAt time.Time // when the first byte of the request arrived
 
-	conn         *serverConn
-	onDisconnect func()       // under the connection's lock
-	lookedAt     atomic.Int64 // when Disconnected last asked the system, as time since FirstByteAt; 0: never
+	conn          *serverConn
+	onDisconnect  func()       // guarded by the connection's lock
+	peerCheckedAt atomic.Int64 // when Disconnected last queried the kernel, as time since FirstByteAt; 0: never
 }
 
-// maxLookAge is how long what the system said of a client's connection is relied on.
-const maxLookAge = 10 * time.Millisecond
+// peerCheckInterval is the minimum interval between two queries of the kernel for the state of a client's connection.
+const peerCheckInterval = 10 * time.Millisecond
 
-// Disconnected reports whether the response was given, or the client has closed its connection, as far as the system knows by
-// now: what OnDisconnect announces may be late. Any goroutine may call it.
+// Disconnected reports whether the response was sent, or the client has closed its connection according to the kernel.
+// It may detect the close before the function of OnDisconnect is called, which may be delayed. Any goroutine may call
+// it.
 func (x *Exchange) Disconnected(now time.Time) bool {
 	c := x.conn
 	c.mu.Lock()
@@ -33,16 +34,16 @@
 		return true
 	}
 	elapsed := now.Sub(x.FirstByteAt)
-	lookedAt := time.Duration(x.lookedAt.Load())
-	if lookedAt > 0 && elapsed-lookedAt < maxLookAge {
+	checkedAt := time.Duration(x.peerCheckedAt.Load())
+	if checkedAt > 0 && elapsed-checkedAt < peerCheckInterval {
 		return false
 	}
-	x.lookedAt.Store(int64(elapsed))
+	x.peerCheckedAt.Store(int64(elapsed))
 	return c.conn.PeerClosed()
 }
 
-// OnDisconnect sets what is called if the client goes away before the response. It returns false if that has happened
-// already, or if the response was given: f is not called then.
+// OnDisconnect sets a function to call if the client disconnects before the response. If it has disconnected already,
+// or the response was sent, OnDisconnect returns false and f is not called.
 func (x *Exchange) OnDisconnect(f func()) bool {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
@@ -50,8 +51,9 @@
 	return x.conn.current == x
 }
 
-// Respond sends the response: fields are names and values of its header in turn. Only the first call counts, and none
-// after the client has gone away. It may be called by any goroutine, and may pass on the next request before it returns.
+// Respond sends the response; fields are alternating names and values of its header. Calls after the first one, or
+// after the client has disconnected, have no effect. It may be called by any goroutine, and may pass the next request
+// to the handler before it returns.
 func (x *Exchange) Respond(status int, body []byte, fields ...string) {
 	c := x.conn
 	c.mu.Lock()
@@ -80,7 +82,7 @@
 	c.awaitRequest()
 }
 
-// awaitRequest goes on to the next request of the connection, which may have come already.
+// awaitRequest continues with the next request of the connection, which may have arrived already.
 func (c *serverConn) awaitRequest() {
 	if c.parser.Begun() {
 		c.startTimer(c.server.timeouts.ReadRequest)
@@ -90,7 +92,7 @@
 	c.advance()
 	if c.current == nil && !c.closed {
 		c.server.mu.Lock()
-		c.enlist(&c.server.idle)
+		c.moveToList(&c.server.idle)
 		c.server.mu.Unlock()
 	}
 }
--- a/internal/net/httpserve/helpers_test.go
+++ b/internal/net/httpserve/helpers_test.go
@@ -22,7 +22,7 @@
 	written                 strings.Builder
 	closedGracefully        bool
 	closed, closedAndWaited bool
-	peerClosed              bool // by what the system says
+	peerClosed              bool // the state that PeerClosed reports
 }
 
 func (c *fakeConn) Write(b []byte, _ func(tcp.WriteResult)) { c.written.Write(b) }
@@ -31,10 +31,10 @@
 func (c *fakeConn) Close(error)                             { c.closed = true }
 func (c *fakeConn) PeerClosed() bool                        { return c.peerClosed }
 
-// startTime is what the clock of most tests shows.
+// startTime is the time of the clock in most tests.
 func startTime() time.Time { return time.Unix(1000, 0) }
 
-// heldHandler stands between a connection and its handler: what was read is passed on when the test releases it.
+// heldHandler wraps the handler of a connection: it blocks in Data until the test releases the bytes that were read.
 type heldHandler struct {
 	tcp.Handler
 	arrived, release, closed chan struct{}
@@ -51,21 +51,21 @@
 	close(h.closed)
 }
 
-// passOne lets through what arrives next.
+// passOne waits until Data is called and releases that call.
 func (h heldHandler) passOne() {
 	<-h.arrived
 	h.release <- struct{}{}
 }
 
-// testServer is a Server on a real listener, whose requests go to the test.
+// testServer is a Server on a real listener that passes its requests to the test.
 type testServer struct {
 	*Server
 	addr     string
 	requests chan *Exchange
-	accept   atomic.Pointer[func(*tcp.Conn) tcp.Handler] // nil: the server's own
+	accept   atomic.Pointer[func(*tcp.Conn) tcp.Handler] // nil: Server.Accept
 }
 
-// acceptWith sets what makes the handlers of later connections.
+// acceptWith sets the function that returns the handlers of later connections.
 func (s *testServer) acceptWith(accept func(*tcp.Conn) tcp.Handler) { s.accept.Store(&accept) }
 
 func newTestServer(t *testing.T) *testServer {
@@ -86,7 +86,8 @@
 	return s
 }
 
-// connectHeld connects a client; what it sends is read off the socket and held until the test releases it.
+// connectHeld connects a client. The bytes that it sends are read from the socket, and handled when the test releases
+// them.
 func (s *testServer) connectHeld(t *testing.T) (client, *heldHandler) {
 	t.Helper()
 	h := &heldHandler{arrived: make(chan struct{}), release: make(chan struct{}), closed: make(chan struct{})}
@@ -101,7 +102,7 @@
 	return c, h
 }
 
-// serveFirst responds to a first request on a connection that is held.
+// serveFirst sends and responds to the first request on a connection of connectHeld.
 func (s *testServer) serveFirst(c client, h *heldHandler) {
 	c.t.Helper()
 	c.send(1)
@@ -110,8 +111,8 @@
 	c.expect(http.StatusOK, "one")
 }
 
-// expectEnd checks that a client sees the end of its connection, that no further request was passed on, and that no
-// connection is left.
+// expectEnd checks that a client sees the close of its connection, that no further request was passed on, and that no
+// connection is open.
 func (s *testServer) expectEnd(c client, h *heldHandler) {
 	c.t.Helper()
 	c.expectEOF()
@@ -165,7 +166,7 @@
 	}
 }
 
-// expectEOF checks that nothing more comes, and that the end is no reset.
+// expectEOF checks that no more data arrives and that the connection is closed without a reset.
 func (c client) expectEOF() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.in); err != nil || len(b) > 0 {
--- a/internal/net/httpserve/races_test.go
+++ b/internal/net/httpserve/races_test.go
@@ -11,21 +11,22 @@
 
 // Requests and closes in forced orders, on real connections (docs/crossings.md).
 
-// A request that was read off an idle connection in the moment of the shutdown is not passed on; its client sees the end
-// of its connection, without a response and without a reset, and sends it elsewhere.
+// A request that was read from an idle connection, but not parsed, when the shutdown begins is not passed on. Its
+// client sees the close of the connection, without a response and without a reset, and can send the request to another
+// server.
 func TestServer_Shutdown_RequestReadNotParsed(t *testing.T) {
 	s := newTestServer(t)
 	c, h := s.connectHeld(t)
 	s.serveFirst(c, h)
 	c.send(2)
-	<-h.arrived // read off the socket, and not parsed
+	<-h.arrived // read from the socket, and not parsed
 	s.Shutdown()
 	h.release <- struct{}{}
 	s.expectEnd(c, h)
 }
 
-// The last response is on its way when its connection ends over bytes that nobody has read: a close would be a reset, and
-// discard the response. The poller is held meanwhile, so that the bytes stay in the socket.
+// The client receives the last response even if its connection is closed with unread bytes in the socket: a plain close
+// would send a reset, which discards the response. The test blocks the poller, so that the bytes stay in the socket.
 func TestExchange_Respond_SurvivesCloseOverUnreadBytes(t *testing.T) {
 	s := newTestServer(t)
 	accepting, release := make(chan struct{}), make(chan struct{})
@@ -43,10 +44,10 @@
 	x := <-s.requests
 	s.connect(t)
 	<-accepting
-	c.send(2) // nobody reads it
+	c.send(2) // stays unread
 	x.Close = true
 	x.Respond(http.StatusOK, []byte(strings.Repeat("x", 1<<16)))
-	firstByte := make([]byte, 1) // the response has begun to arrive, and so has the end that follows it
+	firstByte := make([]byte, 1) // read once the response has begun to arrive, and the close behind it was sent
 	if _, err := io.ReadFull(c, firstByte); err != nil || firstByte[0] != 'H' {
 		t.Fatal(firstByte, err)
 	}
@@ -56,8 +57,8 @@
 	close(release)
 }
 
-// A request of which a part came before the shutdown, and one that comes on a connection accepted just then, is rejected
-// at once, and never passed on.
+// A request that has partly arrived before the shutdown is rejected with 503, a connection that is accepted during the
+// shutdown is closed, and neither request is passed on.
 func TestServer_Shutdown_HalfRequestAndNewConnection(t *testing.T) {
 	s := newTestServer(t)
 	c, h := s.connectHeld(t)
@@ -69,19 +70,19 @@
 		<-release
 		return s.Accept(conn)
 	})
-	late := s.connect(t)
+	newClient := s.connect(t)
 	<-accepting
-	late.send(2)
+	newClient.send(2)
 	s.Shutdown()
 	c.expect(http.StatusServiceUnavailable, "")
 	close(release)
-	late.expectEOF() // or it would be idle for ever, and get requests
+	newClient.expectEOF() // otherwise it would stay open, and its client would send further requests
 	if n := len(s.requests); n > 0 {
 		t.Errorf("%d requests passed on after the shutdown", n)
 	}
 }
 
-// A request in flight at the shutdown is responded to, and what was sent behind it is not passed on.
+// A request in flight at the shutdown is responded to, and the request that was sent behind it is not passed on.
 func TestServer_Shutdown_RequestInFlight(t *testing.T) {
 	s := newTestServer(t)
 	c, h := s.connectHeld(t)
@@ -99,7 +100,8 @@
 	s.expectEnd(c, h)
 }
 
-// An idle connection ends in the moment in which a request comes on it: it is not passed on, and its client sees an end.
+// The idle timeout elapses when a request was read but not parsed: the request is not passed on, and its client sees
+// the close of the connection.
 func TestServer_IdleTimeout_RequestReadNotParsed(t *testing.T) {
 	s := newTestServer(t)
 	c, h := s.connectHeld(t)
@@ -111,7 +113,7 @@
 	s.expectEnd(c, h)
 }
 
-// A shutdown has begun and has not reached a connection yet when a request comes in on it: it is rejected.
+// A request is rejected if the shutdown has begun, but has not closed its connection yet.
 func TestServer_Shutdown_RequestBeforeItsConnectionIsReached(t *testing.T) {
 	s := newTestServer(t)
 	c := s.connect(t)
@@ -119,7 +121,7 @@
 	(<-s.requests).Respond(http.StatusOK, []byte("one"))
 	c.expect(http.StatusOK, "one")
 	s.mu.Lock()
-	s.closing = true // the first thing that Shutdown does
+	s.shuttingDown = true // the first thing that Shutdown does
 	s.mu.Unlock()
 	c.send(2)
 	c.expect(http.StatusServiceUnavailable, "")
--- a/internal/net/httpserve/server.go
+++ b/internal/net/httpserve/server.go
@@ -12,13 +12,14 @@
 
 // Timeouts of a connection.
 type Timeouts struct {
-	// FirstRequest is from the connection's start until its first request is complete; 0: as Idle and ReadRequest say.
+	// FirstRequest limits the time from the connection's start until its first request is complete; 0: Idle and
+	// ReadRequest apply instead.
 	FirstRequest time.Duration
-	// Idle is between requests; 0: no limit.
+	// Idle limits the time between requests; 0: no limit.
 	Idle time.Duration
-	// ReadRequest is from the first byte of a request until it is complete; 0: no limit.
+	// ReadRequest limits the time from the first byte of a request until it is complete; 0: no limit.
 	ReadRequest time.Duration
-	// EvictableAfter is how long a connection is idle before it may be closed in favour of another.
+	// EvictableAfter is how long a connection must be idle before it may be closed in favor of another.
 	EvictableAfter time.Duration
 }
 
@@ -26,13 +27,13 @@
 type Counters struct {
 	Connections        uint64 // accepted
 	Requests           uint64 // passed to the handler
-	BadRequests        uint64 // answered with a status from 400 to 499
-	Evicted            uint64 // idle connections closed in favour of others
+	BadRequests        uint64 // responded to with a status from 400 to 499
+	Evicted            uint64 // idle connections closed in favor of others
 	Panics             uint64 // of the handler
-	RejectedAtShutdown uint64 // requests answered with 503, as the server was shutting down
+	RejectedAtShutdown uint64 // requests rejected with 503 during the shutdown
 }
 
-// String is the form in which GET /counters shows them. Operators' scripts read its names, which stay as they are.
+// String formats the counters as GET /counters shows them. Operators' scripts match the names, so they must not change.
 func (c Counters) String() string {
 	return fmt.Sprintf("{Conns:%d Requests:%d Bad:%d Spared:%d Panics:%d Late:%d}",
 		c.Connections, c.Requests, c.BadRequests, c.Evicted, c.Panics, c.RejectedAtShutdown)
@@ -40,45 +41,47 @@
 
 // Server serves connections. Its methods may be called by any goroutine.
 type Server struct {
-	// MaxKeepAlive is how many connections may be kept alive between requests; 0: no limit. With more, a response ends its
-	// connection, and those idle for EvictableAfter are closed. Guards clients that send one request and keep their
-	// connection against running out of them, and the limit on sockets. Set it before the first connection.
+	// MaxKeepAlive is how many connections may be kept alive between requests; 0: no limit. If more are open, each
+	// response closes its connection, and a new connection evicts one that has been idle for EvictableAfter. This keeps
+	// the process within its limit on sockets, and clients that send one request and keep the connection from running
+	// out of connections. Set it before the first connection.
 	MaxKeepAlive int
 
 	handle   func(*Exchange)
 	timeouts Timeouts
 	now      func() time.Time
 
-	mu       sync.Mutex
-	leaving  bool // every response ends its connection
-	closing  bool // every response ends its connection, and no request is passed on any more
-	conns    map[*serverConn]bool
-	unused   list.List // of *serverConn without a complete request so far, oldest first
-	idle     list.List // of *serverConn between requests, the one idle longest first
-	counters Counters
+	mu                sync.Mutex
+	keepAliveDisabled bool // every response closes its connection
+	shuttingDown      bool // every response closes its connection, and new requests are rejected
+	conns             map[*serverConn]bool
+	unused            list.List // of *serverConn that have not sent a complete request yet, oldest first
+	idle              list.List // of *serverConn between requests, longest idle first
+	counters          Counters
 }
 
-// New returns a Server that passes each request to handle, which responds to it then or later. handle is called on the
-// goroutine of the connection, or of whoever responded to the request before it, and should not block. A panic in it is
-// answered with 500. now is the clock.
+// New returns a Server that passes each request to handle, which responds to it immediately or later. handle is called
+// on the connection's goroutine, or on the goroutine that responded to the previous request, and should not block. If
+// it panics, the response has status 500. now is the clock.
 func New(timeouts Timeouts, now func() time.Time, handle func(*Exchange)) *Server {
 	return &Server{handle: handle, timeouts: timeouts, now: now, conns: map[*serverConn]bool{}}
 }
 
-// EndKeepAlive lets every response from now on end its connection: clients open their next ones elsewhere.
+// EndKeepAlive makes every response from now on close its connection, so that clients open their next connections to
+// other servers.
 func (s *Server) EndKeepAlive() {
 	s.mu.Lock()
-	s.leaving = true
+	s.keepAliveDisabled = true
 	s.mu.Unlock()
 }
 
-// Shutdown ends the server gracefully, without waiting: connections without a request in flight end, each later response
-// ends its connection, and no request is passed on any more. One of which a part has come, or that comes on a connection
-// that was accepted just now, is rejected with 503; the client may send it again, as nothing was done for it. Once
-// OpenConns is 0, all connections have ended.
+// Shutdown begins a graceful shutdown and does not wait for its end: connections without a request in flight are
+// closed, each later response closes its connection, and no further request is passed to the handler. A request that
+// has partly arrived, or that arrives on a connection that was just accepted, is rejected with 503; the client may
+// retry it, as it had no effect. The shutdown is complete when OpenConns returns 0.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
-	s.closing = true
+	s.shuttingDown = true
 	conns := make([]*serverConn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
@@ -89,7 +92,7 @@
 	}
 }
 
-// OpenConns returns the number of connections that have not ended.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,14 +106,14 @@
 	return s.counters
 }
 
-// count adds one to a counter of the server's.
+// count adds one to a counter of the server.
 func (s *Server) count(counter *uint64) {
 	s.mu.Lock()
 	*counter++
 	s.mu.Unlock()
 }
 
-// Conn is a connection as the server uses it; *tcp.Conn is one.
+// Conn is the part of a connection that the server uses; *tcp.Conn implements it.
 type Conn interface {
 	Write(b []byte, done func(tcp.WriteResult))
 	CloseGracefully()
@@ -131,21 +134,21 @@
 	s.mu.Lock()
 	s.conns[c] = true
 	s.counters.Connections++
-	c.enlist(&s.unused)
-	overloaded, closing := s.overloaded(), s.closing
+	c.moveToList(&s.unused)
+	overloaded, shuttingDown := s.overloaded(), s.shuttingDown
 	s.mu.Unlock()
 	if overloaded {
 		s.EvictIdle(false)
 	}
-	if closing { // it was admitted before the shutdown, which did not see it
+	if shuttingDown { // it was admitted before Shutdown, which listed the connections before it was added
 		c.shutdown()
 	}
 	return c
 }
 
-// endsConnection says whether the response to an exchange is the last on its connection.
+// endsConnection reports whether the response to an exchange is the last on its connection.
 func (s *Server) endsConnection(x *Exchange) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return x.Close || s.leaving || s.closing || s.overloaded()
+	return x.Close || s.keepAliveDisabled || s.shuttingDown || s.overloaded()
 }
--- a/internal/net/httpserve/server_test.go
+++ b/internal/net/httpserve/server_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A panic stops at its connection, whose client still gets a response.
+// A panic of the handler affects only its connection, whose client receives a response with status 500.
 func TestServer_PanicOfHandler(t *testing.T) {
 	s := New(Timeouts{}, startTime, func(*Exchange) { panic("in a handler") })
 	conn := &fakeConn{}
@@ -67,7 +67,7 @@
 	s.Attach(busy).Data([]byte(getRequest))
 	s.Shutdown()
 	if !idle.closedGracefully || busy.closedGracefully {
-		t.Error("the idle one ends, the busy one after its response")
+		t.Errorf("closed: idle %v, want true; busy %v, want false", idle.closedGracefully, busy.closedGracefully)
 	}
 	x.Respond(http.StatusOK, nil)
 	if !busy.closedGracefully || !strings.Contains(busy.written.String(), "Connection: close") {
@@ -78,12 +78,13 @@
 	f.Data([]byte(strings.Repeat("x", 90<<10)))
 	x.Respond(http.StatusOK, nil)
 	if flooding.written.Len() != 0 {
-		t.Error("a client that floods was responded to")
+		t.Errorf("the flooding client received %q", flooding.written.String())
 	}
 }
 
-// Idle connections are evicted in favour of others: those kept alive after a response once they were idle for a while,
-// then those that sent nothing, oldest first, then any without a request in flight. A busy one stays.
+// Idle connections are evicted in favor of others: first those that have been idle for EvictableAfter since a response,
+// then those that have not sent a complete request, oldest first, then any other without a request in flight. A busy
+// connection is never evicted.
 func TestServer_EvictIdle(t *testing.T) {
 	now := startTime()
 	var x *Exchange
@@ -98,22 +99,22 @@
 		return conn
 	}
 	keptAlive := attach(getRequest, true)
-	silent := attach("", false)
+	unused := attach("", false)
 	half := attach("GET", false)
 	busy := attach(getRequest, false)
 	fresh := attach(getRequest, true)
 	if s.EvictIdle(false) {
-		t.Error("a connection was evicted that was not idle for long")
+		t.Error("a connection was evicted that was not idle for EvictableAfter")
 	}
 	now = now.Add(1500 * time.Millisecond)
-	if !s.EvictIdle(true) || !silent.closedAndWaited {
-		t.Error("the silent one stayed")
+	if !s.EvictIdle(true) || !unused.closedAndWaited {
+		t.Error("the connection that sent nothing was not evicted")
 	}
 	now = now.Add(time.Second)
 	s.MaxKeepAlive = 1
-	attach("", false) // one more than may be kept alive
+	attach("", false) // evicts one, as more than MaxKeepAlive are open
 	if !keptAlive.closedAndWaited && !fresh.closedAndWaited {
-		t.Error("more are kept alive than may be")
+		t.Error("no connection was evicted beyond MaxKeepAlive")
 	}
 	for range 4 {
 		s.EvictIdle(true)
@@ -128,12 +129,12 @@
 	}
 }
 
-// The time-out of the first request runs from the start of the connection: what trickles in does not prolong it.
+// The timeout of the first request runs from the start of the connection: partial data does not restart it.
 func TestTimeouts_FirstRequest(t *testing.T) {
 	timeouts := Timeouts{FirstRequest: time.Hour, Idle: time.Hour, ReadRequest: time.Hour}
 	s := New(timeouts, startTime, func(x *Exchange) { x.Respond(http.StatusOK, nil) })
 	for _, c := range []struct{ name, sent, want string }{
-		{name: "nothing was sent"}, // the connection ends without a response
+		{name: "nothing was sent"}, // the connection is closed without a response
 		{name: "a part of a request was sent", sent: "GET / HT", want: "HTTP/1.1 408 "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,7 +142,7 @@
 			sc := s.Attach(conn).(*serverConn)
 			timer := sc.timer
 			if sc.Data([]byte(c.sent)); sc.timer != timer {
-				t.Error("the timer was started again")
+				t.Error("the timer was restarted")
 			}
 			sc.expire()
 			written := conn.written.String()
@@ -154,11 +155,11 @@
 	sc.Data([]byte(getRequest))
 	timer := sc.timer
 	if sc.Data([]byte("GET")); sc.timer == timer {
-		t.Error("a later request has no time-out of its own")
+		t.Error("the timer was not restarted for a later request")
 	}
 }
 
-// A request that was sent behind another counts from when it came, not from the response to the other.
+// FirstByteAt of a pipelined request is when it arrived, not when the previous request was responded to.
 func TestExchange_FirstByteAt_BehindAnother(t *testing.T) {
 	now := startTime()
 	var x *Exchange
@@ -170,19 +171,20 @@
 	}
 }
 
-// busyConns is the number of connections with a request in flight, or a response on its way.
+// busyConns returns the number of connections with a request in flight or a response being sent.
 func busyConns(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) - s.unused.Len() - s.idle.Len()
 }
 
-// Under overload a response ends its connection: clients that send one request and keep theirs would run out of them.
+// With more than MaxKeepAlive connections, each response closes its connection. Otherwise clients that send one request
+// and keep their connection would run out of connections.
 func TestServer_MaxKeepAlive_EndsWithTheResponse(t *testing.T) {
 	var x *Exchange
 	s := New(Timeouts{EvictableAfter: time.Hour}, startTime, func(passed *Exchange) { x = passed })
 	s.MaxKeepAlive = 2
-	s.Attach(&fakeConn{}) // sent nothing: does not count
+	s.Attach(&fakeConn{}) // has sent nothing, so it does not count
 	for i := range 4 {
 		conn := &fakeConn{}
 		s.Attach(conn).Data([]byte(getRequest))
@@ -190,15 +192,15 @@
 			t.Errorf("%d: %d busy", i, busyConns(s))
 		}
 		x.Respond(http.StatusOK, nil)
-		overload := i >= 2
-		toldToClose := strings.Contains(conn.written.String(), "Connection: close")
-		if conn.closedGracefully != overload || toldToClose != overload {
+		overloaded := i >= 2
+		announcedClose := strings.Contains(conn.written.String(), "Connection: close")
+		if conn.closedGracefully != overloaded || announcedClose != overloaded {
 			t.Errorf("%d: closed %v, %q", i, conn.closedGracefully, conn.written.String())
 		}
 	}
 }
 
-// GET /counters shows the counters under the names that scripts read.
+// GET /counters shows the counters under the names that operators' scripts match.
 func TestCounters_String(t *testing.T) {
 	c := Counters{Connections: 1, Requests: 2, BadRequests: 3, Evicted: 4, Panics: 5, RejectedAtShutdown: 6}
 	const want = "{Conns:1 Requests:2 Bad:3 Spared:4 Panics:5 Late:6}"
@@ -209,8 +211,8 @@
 	}
 }
 
-// What the system says of a client's connection counts at once, whenever its end is reported; it is asked again after a
-// while only.
+// Disconnected detects the close of a client's connection by querying the kernel, before Closed is called. It queries
+// again only after peerCheckInterval.
 func TestExchange_Disconnected(t *testing.T) {
 	var x *Exchange
 	s := New(Timeouts{}, startTime, func(passed *Exchange) { x = passed })
@@ -219,18 +221,18 @@
 	c.Data([]byte(getRequest))
 	now := startTime().Add(time.Millisecond)
 	if x.Disconnected(now) {
-		t.Error("the client has left")
+		t.Error("the client is reported as disconnected while it is connected")
 	}
 	conn.peerClosed = true
-	if x.Disconnected(now.Add(maxLookAge / 2)) {
-		t.Error("the system was asked again at once")
+	if x.Disconnected(now.Add(peerCheckInterval / 2)) {
+		t.Error("the kernel was queried again before peerCheckInterval elapsed")
 	}
-	if !x.Disconnected(now.Add(maxLookAge)) {
-		t.Error("the close was not seen")
+	if !x.Disconnected(now.Add(peerCheckInterval)) {
+		t.Error("the close was not detected")
 	}
 	conn.peerClosed = false
 	x.Respond(http.StatusOK, nil)
-	if !x.Disconnected(now.Add(3 * maxLookAge)) {
-		t.Error("a client that has its response waits")
+	if !x.Disconnected(now.Add(3 * peerCheckInterval)) {
+		t.Error("false after the response was sent")
 	}
 }
--- a/internal/net/shardmapsource/file_test.go
+++ b/internal/net/shardmapsource/file_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// noReport is for how long nothing must be reported: ten intervals.
+// noReport is how long the tests wait to see that nothing is reported: ten intervals.
 const noReport = 50 * time.Millisecond
 
-// A file is reported at the start, when it changes, when another is renamed into its place, when it is gone and back, and
-// when a report is requested; not otherwise.
+// A file is reported at the start, when it changes, when another is renamed into its place, when it is removed or
+// created again, and when a report is requested; not otherwise.
 func TestFile_ReportsChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "map")
 	write := func(text string) {
@@ -49,14 +49,14 @@
 		t.Fatal(err)
 	}
 	if u := next(t, updates); u.Err == nil {
-		t.Errorf("gone: %+v", u)
+		t.Errorf("removed: %+v", u)
 	}
 	time.Sleep(noReport)
 	if len(updates) > 0 {
-		t.Errorf("reported again that it is gone: %+v", <-updates)
+		t.Errorf("reported again that it is missing: %+v", <-updates)
 	}
 	write("back")
 	if u := next(t, updates); string(u.Text) != "back" {
-		t.Errorf("back: %+v", u)
+		t.Errorf("created again: %+v", u)
 	}
 }
--- a/internal/net/shardmapsource/helpers_test.go
+++ b/internal/net/shardmapsource/helpers_test.go
@@ -9,22 +9,23 @@
 
 func TestMain(m *testing.M) { leakcheck.Main(m) }
 
-// patience is how long something is waited for: a failure, not a verdict.
-const patience = 30 * time.Second
+// testTimeout is how long a test waits for a report or a connection before it fails. It is no bound on the code under
+// test.
+const testTimeout = 30 * time.Second
 
-// next takes the next report.
+// next returns the next report.
 func next(t *testing.T, updates <-chan Update) Update {
 	t.Helper()
 	select {
 	case update := <-updates:
 		return update
-	case <-time.After(patience):
-		t.Fatal("nothing is reported")
+	case <-time.After(testTimeout):
+		t.Fatalf("nothing is reported within %v", testTimeout)
 		return Update{}
 	}
 }
 
-// start runs a source and returns what stops it and waits for it. The test's end stops it too.
+// start runs a source and returns a function that stops it and waits for its end. It is also stopped at the test's end.
 func start(t *testing.T, run func(stop <-chan struct{})) (stopAndWait func()) {
 	t.Helper()
 	stop, done := make(chan struct{}), make(chan struct{})
--- a/internal/net/shardmapsource/http.go
+++ b/internal/net/shardmapsource/http.go
@@ -13,39 +13,39 @@
 
 const (
 	connectTimeout  = time.Second
-	responseTimeout = 10 * time.Second // beyond the wait that was requested
-	maxMapBytes     = 64 << 20         // of the longest map that is read
+	responseTimeout = 10 * time.Second // in addition to the requested wait
+	maxMapBytes     = 64 << 20         // maximum length of a map
 
 	pollPathFormat = "/v1/blocks?after=%d&wait=%s"
 )
 
-// Ways in which a source gives no response.
+// Errors of a source that does not respond.
 var (
-	errNoResponse       = errors.New("no response in time")
-	errConnectionClosed = errors.New("the connection was closed without a response")
+	errNoResponse       = errors.New("no response before the timeout")
+	errConnectionClosed = errors.New("the service closed the connection without a response")
 )
 
 // HTTP polls a service: GET /v1/blocks?after=EPOCH&wait=10s returns 200 with a map newer than EPOCH as soon as there is
-// one, or 304 when the wait is over.
+// one, or 304 when the wait has elapsed.
 type HTTP struct {
 	Addr string        // host:port
 	Wait time.Duration // of a long poll
 
-	// MinInterval is the mean interval between two polls, and the backoff after the first failure, which doubles up to
-	// MaxInterval. Each is drawn between half and one and a half of it.
+	// MinInterval is the mean interval between two polls. It doubles with each failure in a row, up to MaxInterval.
+	// Each interval is drawn at random between 0.5 and 1.5 times the mean.
 	MinInterval time.Duration
 	MaxInterval time.Duration
 
-	Put          func(Update)    // takes each report, on Run's goroutine, and must not block
-	CurrentEpoch func() uint64   // the epoch of the map that is held; called on Run's goroutine
-	Wake         <-chan struct{} // poll now, without a wait
+	Put          func(Update)    // receives each report, on Run's goroutine, and must not block
+	CurrentEpoch func() uint64   // returns the epoch of the current map; called on Run's goroutine
+	Wake         <-chan struct{} // each receive starts a poll immediately, without a wait
 	Dial         tcp.Dialer
 }
 
 // Run polls until stop is closed; its caller waits for it.
 func (h *HTTP) Run(stop <-chan struct{}) {
 	interval := h.MinInterval
-	wait := time.Duration(0) // the first poll is answered at once
+	wait := time.Duration(0) // the service responds to the first poll immediately
 	for {
 		update, outcome := h.poll(stop, h.CurrentEpoch(), wait)
 		switch outcome {
@@ -63,7 +63,7 @@
 			interval = h.MinInterval
 			wait = h.Wait
 		}
-		// A random time, or all aggregators would come back to a source together.
+		// Random, or all aggregators would poll a service at the same time.
 		pause := time.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-stop:
@@ -77,12 +77,12 @@
 	}
 }
 
-// pollOutcome says how a poll ended.
+// pollOutcome is the outcome of a poll.
 type pollOutcome int
 
 const (
 	pollDone        pollOutcome = iota // with an update, which may be an error
-	pollInterrupted                    // somebody wants to know at once
+	pollInterrupted                    // by Wake: the next poll is sent immediately
 	pollStopped
 )
 
@@ -100,7 +100,7 @@
 	defer timeout.Stop()
 	wake := h.Wake
 	if wait == 0 {
-		wake = nil // the source answers at once
+		wake = nil // the service responds to this poll immediately
 	}
 	select {
 	case <-stop:
@@ -116,7 +116,7 @@
 	}
 }
 
-// update is the report of a response.
+// update returns the report of a response.
 func (h *HTTP) update(m *http1.Message) Update {
 	switch m.Status {
 	case http.StatusOK:
--- a/internal/net/shardmapsource/http_test.go
+++ b/internal/net/shardmapsource/http_test.go
@@ -12,17 +12,17 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// Faults of a fakeService, beside the statuses that it may answer with.
+// Faults of a fakeService, which it can produce instead of responding with a status.
 const (
 	abortConnection = 1
 	mapTooLong      = 2
 )
 
-// fakeService stands in for a service of shard maps.
+// fakeService is a fake HTTP service of shard maps.
 type fakeService struct {
 	behavior atomic.Int64 // a status or a fault
 	polls    atomic.Int64
-	queries  chan string // of the polls, as long as they are taken
+	queries  chan string // of the polls; dropped when the channel is full
 }
 
 func (s *fakeService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 	}
 	switch behavior := int(s.behavior.Load()); behavior {
 	case http.StatusOK:
-		_, _ = io.WriteString(w, "a map") // the client may be gone
+		_, _ = io.WriteString(w, "a map") // the client may have disconnected
 	case http.StatusNotModified:
 		wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 		if err != nil {
@@ -47,14 +47,14 @@
 	case abortConnection:
 		panic(http.ErrAbortHandler)
 	case mapTooLong:
-		_, _ = io.WriteString(w, strings.Repeat("x", maxMapBytes+1)) // the client gives up before its end
+		_, _ = io.WriteString(w, strings.Repeat("x", maxMapBytes+1)) // the client closes the connection before the end
 	default:
 		w.WriteHeader(behavior)
 	}
 }
 
-// A service is polled for what is newer than the epoch that is held, by long poll; a failing one at growing intervals.
-// Whoever wakes the source is not kept waiting by a poll in flight.
+// A service is long-polled for maps newer than the current epoch, and a failing one at growing intervals. Waking the
+// source interrupts a poll in flight.
 func TestHTTP_LongPoll(t *testing.T) {
 	var epoch atomic.Uint64
 	var dials atomic.Int64
@@ -71,10 +71,10 @@
 		Put:          func(u Update) { updates <- u },
 		CurrentEpoch: epoch.Load,
 		Wake:         wake,
-		// Not with the source's own time-out: on a busy machine it may run out, and the first poll is to succeed.
+		// Not the source's own timeout: on a busy machine it may elapse, and the first poll must succeed.
 		Dial: func(addr string, _ time.Duration, handler func(*tcp.Conn) tcp.Handler) (*tcp.Conn, error) {
 			dials.Add(1)
-			return tcp.Dial(addr, patience, handler)
+			return tcp.Dial(addr, testTimeout, handler)
 		},
 	}
 	stopAndWait := start(t, h.Run)
@@ -93,7 +93,7 @@
 		}
 	}
 	service.behavior.Store(http.StatusNotModified)
-	for q := ""; q != "after=7&wait=0s"; q = <-service.queries { // sent while a poll of an hour is in flight
+	for q := ""; q != "after=7&wait=0s"; q = <-service.queries { // sent while a poll with a wait of 1 h is in flight
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -102,8 +102,8 @@
 	for u := next(t, updates); u.Err != nil || u.Text != nil; u = next(t, updates) { // until there is nothing newer
 	}
 	stopAndWait()
-	// Counted where it dials: the service may see the last poll after Run has returned. Close waits until every poll is
-	// over, which a poll of an hour left open would not be.
+	// Counted where it dials: the service may receive the last poll after Run has returned. server.Close waits until
+	// every poll has ended, so it would block if Run left a poll with a wait of 1 h open.
 	n := dials.Load()
 	server.Close()
 	if dials.Load() != n || n < service.polls.Load() {
--- a/internal/net/shardmapsource/response.go
+++ b/internal/net/shardmapsource/response.go
@@ -2,13 +2,13 @@
 
 import "rooktrestle/internal/protocol/http1"
 
-// response reads one HTTP response. It is the connection's handler; one of its channels, each with a capacity of 1,
-// delivers once.
+// response reads one HTTP response. It is the connection's handler. It sends one value in total, to complete or to
+// failed, each of which has a capacity of 1.
 type response struct {
 	parser   http1.Parser
 	complete chan *http1.Message
 	failed   chan error
-	done     bool // one of the channels has delivered
+	done     bool // the response or an error was sent to its channel
 }
 
 func newResponse() *response {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Closed implements tcp.Handler. A response of no stated length ends with its connection.
+// Closed implements tcp.Handler. A response without a stated length ends with its connection.
 func (r *response) Closed(err error) {
 	if r.done {
 		return
