--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -1,6 +1,6 @@
 // Package atomicfile stores one value in a file so that a crash at any byte leaves the old value or the new one:
-// the value is written to a second file, synced, and renamed into place, and the directory is synced as well. Each
-// value carries its length and a checksum, so that a file that was corrupted in another way is recognized as such.
+// the value is written to a second file, synced, and renamed into place, and the directory is synced as well. The
+// file contains the value's length and checksum, by which other corruption is detected.
 package atomicfile
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Errors of Load. The returned errors wrap them and name the file.
+// Errors that Load wraps with the name of the file.
 var (
 	ErrNotExist    = errors.New("no value is stored")
 	ErrCorrupt     = errors.New("the stored value is corrupt")
@@ -46,7 +46,7 @@
 	return &ValueFile{fileSystem: fileSystem, path: path}
 }
 
-// Store replaces the stored value. After an error the file holds the old value or the new one, never anything else.
+// Store replaces the stored value. After an error the file contains the old value or the new one, never anything else.
 func (v *ValueFile) Store(value []byte) error {
 	if len(value) > maxValueBytes {
 		return fmt.Errorf("store %s: value has %d bytes, more than %d", v.path, len(value), maxValueBytes)
@@ -72,13 +72,13 @@
 		err = v.fileSystem.Rename(temporary, v.path)
 	}
 	if err != nil {
-		_ = v.fileSystem.Remove(temporary) // err says what failed; the next Store overwrites the file
+		_ = v.fileSystem.Remove(temporary) // err states what failed; the next Store overwrites the file
 		return err
 	}
 	return nil
 }
 
-// writeSynced writes the content and closes the file; no error means that the content is on the disk.
+// writeSynced writes the content, syncs it to disk and closes the file.
 func writeSynced(file WritableFile, content []byte) error {
 	_, err := file.Write(content)
 	if err == nil {
@@ -91,8 +91,8 @@
 	return err
 }
 
-// Load returns the stored value. ErrNotExist, ErrCorrupt and ErrUnsupported tell why there is none; other errors
-// are those of reading the file.
+// Load returns the stored value. Its error wraps ErrNotExist, ErrCorrupt or ErrUnsupported, or is that of reading the
+// file.
 func (v *ValueFile) Load() ([]byte, error) {
 	content, err := v.fileSystem.ReadFile(v.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -122,7 +122,7 @@
 func decode(content []byte) ([]byte, error) {
 	switch {
 	case len(content) < headerBytes:
-		return nil, fmt.Errorf("%w: %d bytes", ErrCorrupt, len(content))
+		return nil, fmt.Errorf("%w: %d bytes, shorter than the header of %d", ErrCorrupt, len(content), headerBytes)
 	case string(content[:versionOffset]) != magic:
 		return nil, ErrUnsupported
 	case content[versionOffset] != version:
@@ -132,10 +132,10 @@
 	checksum := binary.BigEndian.Uint64(content[checksumOffset:])
 	value := content[headerBytes:]
 	if length != uint64(len(value)) {
-		return nil, fmt.Errorf("%w: %d of %d bytes", ErrCorrupt, len(value), length)
+		return nil, fmt.Errorf("%w: %d bytes, the header states %d", ErrCorrupt, len(value), length)
 	}
 	if xxhash.Sum64(value) != checksum {
-		return nil, fmt.Errorf("%w: wrong checksum", ErrCorrupt)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	return value, nil
 }
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A crash at every byte and step of a Store leaves the old value or the new one, whatever part of it had reached
-// the disk.
+// A crash at any byte and step of a Store leaves the old value or the new one, whichever unsynced bytes reached the
+// disk.
 func TestStore_CrashAtEveryStepLeavesOldOrNewValue(t *testing.T) {
 	const path = "dir/map"
 	oldValue := []byte("the old value")
@@ -29,7 +29,7 @@
 				t.Fatalf("after %d steps (%s): %q, %v", steps, state.name, got, err)
 			}
 			if storeErr == nil && !bytes.Equal(got, newValue) {
-				t.Fatalf("after %d steps (%s): stored, and %q is loaded", steps, state.name, got)
+				t.Fatalf("after %d steps (%s): Store succeeded, but %q is loaded", steps, state.name, got)
 			}
 		}
 		if storeErr == nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Files that a crash can't leave behind are recognized as well: of every length, with every bit flipped.
+// Corruption that no crash of a Store causes is detected as well: truncation to any length, a flip of any bit, and an
+// appended byte.
 func TestLoad_CorruptFile(t *testing.T) {
 	disk := newCrashingDisk()
 	file := New(disk, "x")
@@ -93,7 +94,8 @@
 	}
 }
 
-// The files in testdata were written by commit b803164 (package internal/state/keep).
+// The files in testdata were written by commit b803164, when this package was internal/state/keep. They must remain
+// readable, and the encoding must not change.
 func TestLoad_FileOfAnEarlierVersion(t *testing.T) {
 	for name, want := range map[string]string{
 		"value-b803164": "shard map, epoch 7\n\x00\xff",
--- a/internal/state/atomicfile/crashingdisk_test.go
+++ b/internal/state/atomicfile/crashingdisk_test.go
@@ -10,11 +10,11 @@
 
 var errCrash = errors.New("crashed")
 
-// crashingDisk is a file system that crashes at a given step. What was not synced before the crash may be there or not
-// after it: statesAfterCrash returns the cases.
+// crashingDisk is a fake file system that crashes at a given step. Data that was not synced before the crash may or may
+// not be present after it: statesAfterCrash returns the cases.
 type crashingDisk struct {
-	stepsUntilCrash int                  // negative: it never crashes
-	files           map[string]*diskFile // as the program sees them
+	stepsUntilCrash int                  // negative: never crashes
+	files           map[string]*diskFile // as the running process sees them
 	syncedEntries   map[string]*diskFile // directory entries as of the last SyncDir
 }
 
@@ -89,7 +89,7 @@
 	file *diskFile
 }
 
-// Write takes a step for each byte, so that a crash comes at every one.
+// Write counts a step for each byte, so that a crash can occur at any of them.
 func (h *diskHandle) Write(data []byte) (int, error) {
 	for i, b := range data {
 		if err := h.disk.step(); err != nil {
@@ -110,7 +110,7 @@
 
 func (h *diskHandle) Close() error { return h.disk.step() }
 
-// diskState is a disk as it may be found after a crash.
+// diskState is a possible state of the disk after a crash.
 type diskState struct {
 	name string
 	disk *crashingDisk
--- a/internal/state/atomicfile/fs.go
+++ b/internal/state/atomicfile/fs.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// FS is the part of a file system that a ValueFile needs. OS is the operating system's; tests use one that crashes
-// at every step.
+// FS is the part of a file system that a ValueFile uses. OS implements it for the operating system; tests use one that
+// crashes at a given step.
 type FS interface {
 	// Create creates a file, or truncates an existing one.
 	Create(name string) (WritableFile, error)
@@ -53,6 +53,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // opened for reading only: nothing is lost
+	defer func() { _ = directory.Close() }() // opened for reading only: the error can be ignored
 	return directory.Sync()
 }
