--- a/internal/backend/leaf/conn.go
+++ b/internal/backend/leaf/conn.go
@@ -14,8 +14,8 @@
 type Transport interface {
 	// Write queues b. done, which may be nil, is called with how far b was written.
 	Write(b []byte, done func(tcp.WriteResult))
-	// WriteLate is Write for bytes that are built right before they are written, and dropped if they have expired by then.
-	WriteLate(write tcp.LateWrite, done func(tcp.WriteResult))
+	// WriteDeferred is Write for bytes that are built right before they are written, and dropped if they have expired by then.
+	WriteDeferred(write tcp.DeferredWrite, done func(tcp.WriteResult))
 	// Close closes the connection.
 	Close(cause error)
 	// Abort closes the connection and discards its unsent bytes; done is called once the socket is closed.
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -166,8 +166,8 @@
 // until then. The harness checks the write delays that the pool sets.
 type untimedTransport struct{ *tcp.Conn }
 
-func (t untimedTransport) WriteLate(write tcp.LateWrite, done func(tcp.WriteResult)) {
-	t.Conn.WriteLate(tcp.LateWrite{
+func (t untimedTransport) WriteDeferred(write tcp.DeferredWrite, done func(tcp.WriteResult)) {
+	t.Conn.WriteDeferred(tcp.DeferredWrite{
 		Size:   write.Size,
 		Within: networkTimeout,
 		Bytes:  func(time.Time) []byte { return write.Bytes(testStart) },
