--- a/internal/app/partners.go
+++ b/internal/app/partners.go
@@ -253,5 +253,5 @@
 func (p *PartnersDeployment) drained() bool {
 	openQueries := 0
 	p.loop.Do(func() { openQueries = p.core.OpenQueries() })
-	return openQueries == 0 && p.sru.OpenConns() == 0 && p.z3950.Open() == 0
+	return openQueries == 0 && p.sru.OpenConns() == 0 && p.z3950.OpenAssociations() == 0
 }
--- a/internal/frontend/z3950/association_test.go
+++ b/internal/frontend/z3950/association_test.go
@@ -260,7 +260,7 @@
 		t.Errorf("answered by %+v, closed %v", o.last(), o.closed)
 	}
 	o.handler.Closed(nil)
-	if open := o.server.Open(); open != 0 {
+	if open := o.server.OpenAssociations(); open != 0 {
 		t.Errorf("%d associations are open", open)
 	}
 }
--- a/internal/frontend/z3950/server.go
+++ b/internal/frontend/z3950/server.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Open returns the number of open associations.
-func (s *Server) Open() int {
+// OpenAssociations returns the number of open associations.
+func (s *Server) OpenAssociations() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
