--- a/internal/frontend/sru/server.go
+++ b/internal/frontend/sru/server.go
@@ -76,7 +76,7 @@
 }
 
 // respondFault answers with a diagnostic in the response to a search, whatever the operation was.
-func respondFault(exchange *httpserve.Exchange, fault *sru.Fault) {
+func respondFault(exchange *httpserve.Exchange, fault *sru.DiagnosticError) {
 	respondXML(exchange, failedSearch([]query.Diagnostic{fault.Diagnostic()}))
 }
 
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -85,30 +85,30 @@
 	235: "Database does not exist",
 }
 
-// Fault is the error of a request that is rejected with a diagnostic.
-type Fault struct {
+// DiagnosticError is the error of a request that is rejected with a diagnostic.
+type DiagnosticError struct {
 	Code    int // of the SRU diagnostic set
 	Details string
 }
 
 // NewFault returns the error of a diagnostic's number, with its details.
-func NewFault(code int, details string) *Fault { return &Fault{code, details} }
+func NewFault(code int, details string) *DiagnosticError { return &DiagnosticError{code, details} }
 
 // Error returns the diagnostic's identifier, message and details.
-func (f *Fault) Error() string {
+func (f *DiagnosticError) Error() string {
 	return fmt.Sprintf("%s%d %s: %s", Diag, f.Code, messages[f.Code], f.Details)
 }
 
 // Diagnostic returns the diagnostic of the fault.
-func (f *Fault) Diagnostic() query.Diagnostic {
+func (f *DiagnosticError) Diagnostic() query.Diagnostic {
 	return query.Diagnostic{SRU: Diag + strconv.Itoa(f.Code), Details: f.Details}
 }
 
 // AsFault returns the fault in an error, or that of the *query.Error in it, or else a general system error with the error's
 // text.
-func AsFault(err error) *Fault {
+func AsFault(err error) *DiagnosticError {
 	var queryError *query.Error
-	var fault *Fault
+	var fault *DiagnosticError
 	switch {
 	case errors.As(err, &fault):
 		return fault
--- a/internal/protocol/sru/sru_test.go
+++ b/internal/protocol/sru/sru_test.go
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		_, err = ParseRequest(params)
-		var f *Fault
+		var f *DiagnosticError
 		if got := errors.As(err, &f); got != (want != 0) || got && f.Code != want {
 			t.Errorf("%s: %v, want %d", more, err, want)
 		}
@@ -71,7 +71,7 @@
 	} {
 		params, _ := url.ParseQuery(text)
 		_, err := ParseRequest(params)
-		var f *Fault
+		var f *DiagnosticError
 		if !errors.As(err, &f) || f.Code != want {
 			t.Errorf("%s: %v, want %d", text, err, want)
 		}
@@ -98,7 +98,7 @@
 		"<updateRequest><version>9</version><action>info:srw/action/1/delete</action></updateRequest>":                   UnsupportedVersion,
 	} {
 		_, err := ParseUpdate([]byte(text))
-		var f *Fault
+		var f *DiagnosticError
 		if !errors.As(err, &f) || f.Code != want {
 			t.Errorf("%.60s: %v, want %d", text, err, want)
 		}
