--- a/internal/frontend/sru/failure.go
+++ b/internal/frontend/sru/failure.go
@@ -41,13 +41,13 @@
 	switch outcome.Kind {
 	case gateway.Rejected:
 		details := fmt.Sprintf("refused; asking again is harmless, after %v", outcome.RetryAfter)
-		return sru.NewFault(sru.TemporarilyUnavailable, details).Diagnostic()
+		return sru.NewDiagnosticError(sru.TemporarilyUnavailable, details).Diagnostic()
 	case gateway.TimedOut:
-		return sru.NewFault(sru.GeneralSystemError, "timed out").Diagnostic()
+		return sru.NewDiagnosticError(sru.GeneralSystemError, "timed out").Diagnostic()
 	case gateway.UnknownDatabase:
-		return sru.NewFault(sru.DatabaseDoesNotExist, outcome.Details).Diagnostic()
+		return sru.NewDiagnosticError(sru.DatabaseDoesNotExist, outcome.Details).Diagnostic()
 	case gateway.ReadOnly:
-		return sru.NewFault(sru.UnsupportedOperation, "update of "+outcome.Details).Diagnostic()
+		return sru.NewDiagnosticError(sru.UnsupportedOperation, "update of "+outcome.Details).Diagnostic()
 	case gateway.ServerDiagnostic:
 		diagnostic := *outcome.Diagnostic
 		if diagnostic.SRU == "" { // from a Z39.50 server
@@ -56,5 +56,5 @@
 		}
 		return diagnostic
 	}
-	return sru.NewFault(sru.GeneralSystemError, strings.TrimSpace("failed "+outcome.Details)).Diagnostic()
+	return sru.NewDiagnosticError(sru.GeneralSystemError, strings.TrimSpace("failed "+outcome.Details)).Diagnostic()
 }
--- a/internal/frontend/sru/server.go
+++ b/internal/frontend/sru/server.go
@@ -50,7 +50,7 @@
 func (s *Server) query(exchange *httpserve.Exchange, name, paramsText string) {
 	params, err := url.ParseQuery(paramsText)
 	if err != nil {
-		respondFault(exchange, sru.NewFault(sru.UnsupportedValue, "the query string cannot be read"))
+		respondFault(exchange, sru.NewDiagnosticError(sru.UnsupportedValue, "the query string cannot be read"))
 		return
 	}
 	request, err := sru.ParseRequest(params)
@@ -60,7 +60,7 @@
 	}
 	database := s.Service.Database(name)
 	if database == nil {
-		respondFault(exchange, sru.NewFault(sru.DatabaseDoesNotExist, name))
+		respondFault(exchange, sru.NewDiagnosticError(sru.DatabaseDoesNotExist, name))
 		return
 	}
 	if request.Operation == sru.OperationExplain {
@@ -92,11 +92,11 @@
 		request.MaxRecords = min(defaultMaxRecords, limit)
 	}
 	if request.Schema != "" && request.Schema != "dc" && request.Schema != sru.DefaultSchema {
-		respondFault(exchange, sru.NewFault(sru.UnknownSchema, request.Schema))
+		respondFault(exchange, sru.NewDiagnosticError(sru.UnknownSchema, request.Schema))
 		return
 	}
 	if request.StartRecord > limit {
-		respondFault(exchange, sru.NewFault(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord)))
+		respondFault(exchange, sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord)))
 		return
 	}
 	request.MaxRecords = min(request.MaxRecords, limit-request.StartRecord+1)
@@ -124,11 +124,11 @@
 		Packing:     request.Packing,
 	}
 	if outcome.Kind == gateway.Partial {
-		fault := sru.NewFault(sru.PartialResults, outcome.Coverage())
+		fault := sru.NewDiagnosticError(sru.PartialResults, outcome.Coverage())
 		result.Diagnostics = append(result.Diagnostics, fault.Diagnostic())
 	}
 	if request.StartRecord > 1 && request.StartRecord > outcome.Count {
-		fault := sru.NewFault(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord))
+		fault := sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord))
 		result.Diagnostics = append(result.Diagnostics, fault.Diagnostic())
 	}
 	next := request.StartRecord + len(result.Records)
--- a/internal/protocol/sru/search.go
+++ b/internal/protocol/sru/search.go
@@ -35,7 +35,7 @@
 	}
 	for name, values := range params {
 		if len(values) > 1 {
-			return request, NewFault(UnsupportedValue, name)
+			return request, NewDiagnosticError(UnsupportedValue, name)
 		}
 	}
 	if err := checkVersion(params.Get("version")); err != nil {
@@ -46,9 +46,9 @@
 		return request, nil
 	case OperationSearch:
 	case "":
-		return request, NewFault(MissingParameter, "operation")
+		return request, NewDiagnosticError(MissingParameter, "operation")
 	default:
-		return request, NewFault(UnsupportedOperation, request.Operation)
+		return request, NewDiagnosticError(UnsupportedOperation, request.Operation)
 	}
 	for name, values := range params {
 		if err := request.setParameter(name, values[0]); err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if request.CQL == "" {
-		return request, NewFault(MissingParameter, "query")
+		return request, NewDiagnosticError(MissingParameter, "query")
 	}
 	if err := request.parseQuery(); err != nil {
 		return request, err
@@ -69,9 +69,9 @@
 	case "1.1", "1.2":
 		return nil
 	case "":
-		return NewFault(MissingParameter, "version")
+		return NewDiagnosticError(MissingParameter, "version")
 	}
-	return NewFault(UnsupportedVersion, "1.2")
+	return NewDiagnosticError(UnsupportedVersion, "1.2")
 }
 
 // setParameter takes one parameter of a search.
@@ -86,20 +86,20 @@
 		return setNumber(&r.MaxRecords, name, value, 0)
 	case "recordPacking":
 		if value != PackingXML && value != PackingString {
-			return NewFault(UnsupportedPacking, value)
+			return NewDiagnosticError(UnsupportedPacking, value)
 		}
 		r.Packing = value
 	case "recordSchema":
 		r.Schema = value
 	case "sortKeys":
 		if value != "" {
-			return NewFault(SortUnsupported, value)
+			return NewDiagnosticError(SortUnsupported, value)
 		}
 	case "stylesheet":
-		return NewFault(StylesheetsUnsupported, value)
+		return NewDiagnosticError(StylesheetsUnsupported, value)
 	default:
 		if !strings.HasPrefix(name, "x-") { // an extension, which may be ignored
-			return NewFault(UnsupportedParameter, name)
+			return NewDiagnosticError(UnsupportedParameter, name)
 		}
 	}
 	return nil
@@ -109,7 +109,7 @@
 func setNumber(field *int, name, value string, minimum int) error {
 	number, err := strconv.Atoi(value)
 	if err != nil || number < minimum {
-		return NewFault(UnsupportedValue, name)
+		return NewDiagnosticError(UnsupportedValue, name)
 	}
 	*field = number
 	return nil
@@ -122,7 +122,7 @@
 		return AsFault(err)
 	}
 	_, err = query.ResolveResultSets(tree, func(string) (query.Node, error) {
-		return nil, NewFault(ResultSetsUnsupported, "cql.resultSetId")
+		return nil, NewDiagnosticError(ResultSetsUnsupported, "cql.resultSetId")
 	})
 	if err != nil {
 		return err
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -91,8 +91,8 @@
 	Details string
 }
 
-// NewFault returns the error of a diagnostic's number, with its details.
-func NewFault(code int, details string) *DiagnosticError { return &DiagnosticError{code, details} }
+// NewDiagnosticError returns the error of a diagnostic's number, with its details.
+func NewDiagnosticError(code int, details string) *DiagnosticError { return &DiagnosticError{code, details} }
 
 // Error returns the diagnostic's identifier, message and details.
 func (f *DiagnosticError) Error() string {
@@ -113,9 +113,9 @@
 	case errors.As(err, &fault):
 		return fault
 	case errors.As(err, &queryError):
-		return NewFault(queryError.SRU, queryError.Details)
+		return NewDiagnosticError(queryError.SRU, queryError.Details)
 	}
-	return NewFault(GeneralSystemError, err.Error())
+	return NewDiagnosticError(GeneralSystemError, err.Error())
 }
 
 // diagnosticsElement prints diagnostics, and nothing if there are none.
--- a/internal/protocol/sru/update.go
+++ b/internal/protocol/sru/update.go
@@ -19,22 +19,22 @@
 	var update Update
 	request, err := parseXML(text)
 	if err != nil {
-		return update, NewFault(UnsupportedValue, err.Error())
+		return update, NewDiagnosticError(UnsupportedValue, err.Error())
 	}
 	if request.XMLName.Local != "updateRequest" {
-		return update, NewFault(UnsupportedOperation, request.XMLName.Local)
+		return update, NewDiagnosticError(UnsupportedOperation, request.XMLName.Local)
 	}
 	switch request.text("version") {
 	case "", "1.0", "1.1", "1.2":
 	default:
-		return update, NewFault(UnsupportedVersion, "1.0")
+		return update, NewDiagnosticError(UnsupportedVersion, "1.0")
 	}
 	action := request.text("action")
 	update.Action = query.Action(strings.TrimPrefix(action, actionPrefix))
 	switch update.Action {
 	case query.ActionCreate, query.ActionReplace, query.ActionDelete:
 	default:
-		return update, NewFault(UnsupportedValue, "action "+action)
+		return update, NewDiagnosticError(UnsupportedValue, "action "+action)
 	}
 	update.Record.ID = request.text("recordIdentifier")
 	if record := request.child("record"); record != nil {
@@ -42,10 +42,10 @@
 		update.Record.XML = recordData(request, record)
 	}
 	if update.Record.ID == "" {
-		return update, NewFault(MissingParameter, "recordIdentifier")
+		return update, NewDiagnosticError(MissingParameter, "recordIdentifier")
 	}
 	if update.Record.XML == "" && update.Action != query.ActionDelete {
-		return update, NewFault(MissingParameter, "record")
+		return update, NewDiagnosticError(MissingParameter, "record")
 	}
 	return update, nil
 }
