--- a/internal/frontend/sru/server.go
+++ b/internal/frontend/sru/server.go
@@ -55,7 +55,7 @@
 	}
 	request, err := sru.ParseRequest(params)
 	if err != nil {
-		respondFault(exchange, sru.AsFault(err))
+		respondFault(exchange, sru.AsDiagnosticError(err))
 		return
 	}
 	database := s.Service.Database(name)
@@ -142,7 +142,7 @@
 func (s *Server) update(exchange *httpserve.Exchange, database string) {
 	update, err := sru.ParseUpdate(exchange.Body)
 	if err != nil {
-		diagnostics := []query.Diagnostic{sru.AsFault(err).Diagnostic()}
+		diagnostics := []query.Diagnostic{sru.AsDiagnosticError(err).Diagnostic()}
 		respondXML(exchange, sru.UpdateResponse(false, update.Record.ID, diagnostics))
 		return
 	}
--- a/internal/protocol/sru/search.go
+++ b/internal/protocol/sru/search.go
@@ -119,7 +119,7 @@
 func (r *Request) parseQuery() error {
 	tree, err := query.Parse(r.CQL)
 	if err != nil {
-		return AsFault(err)
+		return AsDiagnosticError(err)
 	}
 	_, err = query.ResolveResultSets(tree, func(string) (query.Node, error) {
 		return nil, NewDiagnosticError(ResultSetsUnsupported, "cql.resultSetId")
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -104,9 +104,9 @@
 	return query.Diagnostic{SRU: Diag + strconv.Itoa(f.Code), Details: f.Details}
 }
 
-// AsFault returns the fault in an error, or that of the *query.Error in it, or else a general system error with the error's
+// AsDiagnosticError returns the fault in an error, or that of the *query.Error in it, or else a general system error with the error's
 // text.
-func AsFault(err error) *DiagnosticError {
+func AsDiagnosticError(err error) *DiagnosticError {
 	var queryError *query.Error
 	var fault *DiagnosticError
 	switch {
