--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -30,7 +30,7 @@
 
 // Errors of a call.
 var (
-	ErrNoCall      = errors.New("no call")
+	ErrNoCommand      = errors.New("no call")
 	ErrUnknownCall = errors.New("unknown call")
 	ErrArguments   = errors.New("wrong number of arguments")
 	ErrNoServer    = errors.New("no server id")
@@ -46,7 +46,7 @@
 func Parse(line string) (Command, error) {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
-		return Command{}, ErrNoCall
+		return Command{}, ErrNoCommand
 	}
 	command := Command{Verb: Verb(fields[0])}
 	arguments := fields[1:]
--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/admin/admin_test.go
@@ -18,8 +18,8 @@
 		}
 	}
 	for line, want := range map[string]error{
-		"":             ErrNoCall,
-		"\r\n":         ErrNoCall,
+		"":             ErrNoCommand,
+		"\r\n":         ErrNoCommand,
 		"ping":         ErrUnknownCall,
 		"\x00\xff":     ErrUnknownCall,
 		"PING now":     ErrArguments,
