--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -31,7 +31,7 @@
 // Errors of a call.
 var (
 	ErrNoCommand      = errors.New("no call")
-	ErrUnknownCall = errors.New("unknown call")
+	ErrUnknownCommand = errors.New("unknown call")
 	ErrArguments   = errors.New("wrong number of arguments")
 	ErrNoServer    = errors.New("no server id")
 )
@@ -64,7 +64,7 @@
 		}
 		command.Server = arguments[0]
 	default:
-		return Command{}, fmt.Errorf("%w %.40q", ErrUnknownCall, fields[0])
+		return Command{}, fmt.Errorf("%w %.40q", ErrUnknownCommand, fields[0])
 	}
 	return command, nil
 }
--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/admin/admin_test.go
@@ -20,8 +20,8 @@
 	for line, want := range map[string]error{
 		"":             ErrNoCommand,
 		"\r\n":         ErrNoCommand,
-		"ping":         ErrUnknownCall,
-		"\x00\xff":     ErrUnknownCall,
+		"ping":         ErrUnknownCommand,
+		"\x00\xff":     ErrUnknownCommand,
 		"PING now":     ErrArguments,
 		"DETACH":       ErrNoServer,
 		"ATTACH a b":   ErrArguments,
