--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -32,8 +32,8 @@
 var (
 	ErrNoCommand      = errors.New("no call")
 	ErrUnknownCommand = errors.New("unknown call")
-	ErrArguments   = errors.New("wrong number of arguments")
-	ErrNoServer    = errors.New("no server id")
+	ErrArguments      = errors.New("wrong number of arguments")
+	ErrNoServer       = errors.New("no server id")
 )
 
 // Command is a call. Server is set for Detach and Attach only.
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -92,7 +92,9 @@
 }
 
 // NewDiagnosticError returns the error of a diagnostic's number, with its details.
-func NewDiagnosticError(code int, details string) *DiagnosticError { return &DiagnosticError{code, details} }
+func NewDiagnosticError(code int, details string) *DiagnosticError {
+	return &DiagnosticError{code, details}
+}
 
 // Error returns the diagnostic's identifier, message and details.
 func (f *DiagnosticError) Error() string {
