--- a/internal/frontend/sru/explain.go
+++ b/internal/frontend/sru/explain.go
@@ -9,7 +9,7 @@
 	"rooktrestle/internal/query"
 )
 
-// explain prints the description of a database (ZeeRex).
+// explain returns the ZeeRex description of a database.
 func (s *Server) explain(database *config.Database) []byte {
 	host, port, _ := strings.Cut(s.Service.Config.Listen.SRU, ":")
 	title := database.Title
@@ -27,7 +27,7 @@
 		indexElements(), sru.DefaultSchema, defaultMaxRecords, s.Service.Config.Limits.MaxRecords)
 }
 
-// indexElements prints the indexes that queries may name.
+// indexElements returns the index elements of the indexes that queries may use.
 func indexElements() string {
 	var elements strings.Builder
 	for _, name := range query.IndexNames() {
--- a/internal/frontend/sru/failure.go
+++ b/internal/frontend/sru/failure.go
@@ -11,15 +11,15 @@
 	"rooktrestle/internal/query"
 )
 
-// failure is the response to a request without results.
+// failure describes the HTTP response to a request that has no results.
 type failure struct {
-	status      int // of HTTP
-	fields      []string
+	status      int      // HTTP status code
+	fields      []string // header fields, as pairs of name and value
 	diagnostics []query.Diagnostic
 }
 
-// failureOf returns the response to an outcome without results. Only a rejected request has an HTTP status that is an
-// error, so that clients and proxies honour its Retry-After.
+// failureOf returns the response to an outcome without results. The HTTP status is 200, except for a rejected request:
+// that has an error status, so that clients and proxies honor its Retry-After header.
 func failureOf(outcome gateway.Outcome) failure {
 	f := failure{
 		status:      200,
@@ -36,7 +36,7 @@
 	return f
 }
 
-// diagnosticOf returns the diagnostic of an outcome without results.
+// diagnosticOf returns the diagnostic for an outcome without results.
 func diagnosticOf(outcome gateway.Outcome) query.Diagnostic {
 	switch outcome.Kind {
 	case gateway.Rejected:
--- a/internal/frontend/sru/server.go
+++ b/internal/frontend/sru/server.go
@@ -1,4 +1,4 @@
-// Package sru is the SRU frontend: a server of searches, record updates and explain on the databases of a gateway.
+// Package sru is the SRU frontend: it serves searches, record updates and explain requests on a gateway's databases.
 package sru
 
 import (
@@ -13,14 +13,15 @@
 	"rooktrestle/internal/query"
 )
 
-// defaultMaxRecords is the number of records in a response if the request gives none.
+// defaultMaxRecords is the maximum number of records in a response if the request sets none.
 const defaultMaxRecords = 10
 
-// Server is the SRU frontend. It has no state of its own.
+// Server is the SRU frontend. It stores no state between requests.
 type Server struct{ Service *gateway.Service }
 
-// Handle answers one request, now or when its outcome is known: /DATABASE with the parameters of SRU in the query string
-// or in a form, or an update in a POST of XML. Without a database it is for the first one.
+// Handle handles one request and responds when its outcome is known, which may be after Handle returns. The request
+// target is /DATABASE, with the SRU parameters in the query string or in a form body; a POST with an XML body is an
+// update. An empty database name selects the first configured database.
 func (s *Server) Handle(exchange *httpserve.Exchange) {
 	path, paramsText, _ := strings.Cut(exchange.Target, "?")
 	database, err := url.PathUnescape(strings.Trim(path, "/"))
@@ -46,21 +47,21 @@
 	s.query(exchange, database, paramsText)
 }
 
-// query answers a search or an explain.
+// query handles a search or an explain request.
 func (s *Server) query(exchange *httpserve.Exchange, name, paramsText string) {
 	params, err := url.ParseQuery(paramsText)
 	if err != nil {
-		respondFault(exchange, sru.NewDiagnosticError(sru.UnsupportedValue, "the query string cannot be read"))
+		respondDiagnostic(exchange, sru.NewDiagnosticError(sru.UnsupportedValue, "the query string cannot be read"))
 		return
 	}
 	request, err := sru.ParseRequest(params)
 	if err != nil {
-		respondFault(exchange, sru.AsDiagnosticError(err))
+		respondDiagnostic(exchange, sru.AsDiagnosticError(err))
 		return
 	}
 	database := s.Service.Database(name)
 	if database == nil {
-		respondFault(exchange, sru.NewDiagnosticError(sru.DatabaseDoesNotExist, name))
+		respondDiagnostic(exchange, sru.NewDiagnosticError(sru.DatabaseDoesNotExist, name))
 		return
 	}
 	if request.Operation == sru.OperationExplain {
@@ -70,33 +71,33 @@
 	s.search(exchange, database, request)
 }
 
-// respondXML answers with a document.
+// respondXML sends an XML document with status 200.
 func respondXML(exchange *httpserve.Exchange, body []byte) {
 	exchange.Respond(200, body, "Content-Type", sru.XMLType)
 }
 
-// respondFault answers with a diagnostic in the response to a search, whatever the operation was.
-func respondFault(exchange *httpserve.Exchange, fault *sru.DiagnosticError) {
-	respondXML(exchange, failedSearch([]query.Diagnostic{fault.Diagnostic()}))
+// respondDiagnostic sends a search response that carries the diagnostic of err, whichever operation was requested.
+func respondDiagnostic(exchange *httpserve.Exchange, err *sru.DiagnosticError) {
+	respondXML(exchange, failedSearch([]query.Diagnostic{err.Diagnostic()}))
 }
 
-// failedSearch prints the response to a search without results.
+// failedSearch returns a search response with diagnostics and no records.
 func failedSearch(diagnostics []query.Diagnostic) []byte {
 	return sru.SearchResponse(sru.SearchResult{StartRecord: 1, Packing: sru.PackingXML, Diagnostics: diagnostics})
 }
 
-// search answers a search.
+// search handles a search request.
 func (s *Server) search(exchange *httpserve.Exchange, database *config.Database, request sru.Request) {
 	limit := s.Service.Config.Limits.MaxRecords
 	if request.MaxRecords < 0 {
 		request.MaxRecords = min(defaultMaxRecords, limit)
 	}
 	if request.Schema != "" && request.Schema != "dc" && request.Schema != sru.DefaultSchema {
-		respondFault(exchange, sru.NewDiagnosticError(sru.UnknownSchema, request.Schema))
+		respondDiagnostic(exchange, sru.NewDiagnosticError(sru.UnknownSchema, request.Schema))
 		return
 	}
 	if request.StartRecord > limit {
-		respondFault(exchange, sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord)))
+		respondDiagnostic(exchange, sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord)))
 		return
 	}
 	request.MaxRecords = min(request.MaxRecords, limit-request.StartRecord+1)
@@ -114,8 +115,8 @@
 	await(exchange, cancel, immediate, respond)
 }
 
-// searchResult returns the page of an outcome that a request is for. A partial outcome and a page beyond the results are
-// marked by diagnostics.
+// searchResult returns the requested page of an outcome. Diagnostics mark a partial outcome and a page that starts
+// beyond the last result.
 func searchResult(request *sru.Request, outcome *gateway.Outcome) sru.SearchResult {
 	result := sru.SearchResult{
 		Count:       outcome.Count,
@@ -124,12 +125,12 @@
 		Packing:     request.Packing,
 	}
 	if outcome.Kind == gateway.Partial {
-		fault := sru.NewDiagnosticError(sru.PartialResults, outcome.Coverage())
-		result.Diagnostics = append(result.Diagnostics, fault.Diagnostic())
+		partial := sru.NewDiagnosticError(sru.PartialResults, outcome.Coverage())
+		result.Diagnostics = append(result.Diagnostics, partial.Diagnostic())
 	}
 	if request.StartRecord > 1 && request.StartRecord > outcome.Count {
-		fault := sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord))
-		result.Diagnostics = append(result.Diagnostics, fault.Diagnostic())
+		outOfRange := sru.NewDiagnosticError(sru.FirstRecordOutOfRange, strconv.Itoa(request.StartRecord))
+		result.Diagnostics = append(result.Diagnostics, outOfRange.Diagnostic())
 	}
 	next := request.StartRecord + len(result.Records)
 	if len(result.Records) > 0 && next <= outcome.Count {
@@ -138,7 +139,7 @@
 	return result
 }
 
-// update answers an update of a record in a database.
+// update handles an update of one record in a database.
 func (s *Server) update(exchange *httpserve.Exchange, database string) {
 	update, err := sru.ParseUpdate(exchange.Body)
 	if err != nil {
@@ -159,11 +160,12 @@
 	await(exchange, cancel, immediate, respond)
 }
 
-// await responds at once if the outcome is known, and otherwise cancels the request if the client disconnects before it is.
+// await responds if the outcome is already known; otherwise it has the request canceled if the client disconnects
+// before it completes.
 func await(exchange *httpserve.Exchange, cancel gateway.Cancel, immediate *gateway.Outcome, respond func(gateway.Outcome)) {
 	if immediate != nil {
 		respond(*immediate)
 	} else if !exchange.OnDisconnect(cancel) {
-		cancel() // the client has disconnected, or was answered meanwhile: cancelling then does nothing
+		cancel() // the client has disconnected; no effect if the response was sent in the meantime
 	}
 }
--- a/internal/frontend/sru/server_test.go
+++ b/internal/frontend/sru/server_test.go
@@ -27,13 +27,13 @@
 func (c *fakeConn) Close(error)                             {}
 func (c *fakeConn) PeerClosed() bool                        { return false }
 
-// client is a client's connection to a frontend with two databases, of which the second takes no corrections.
+// client is a client's connection to a frontend with two databases, of which the second is read-only.
 type client struct {
 	*fakeConn
 	t        *testing.T
 	handler  tcp.Handler
-	requests []*aggregator.Request // that the core was sent
-	canceled []*aggregator.Request
+	requests []*aggregator.Request // posted to the core
+	canceled []*aggregator.Request // whose client disconnected
 }
 
 func newClient(t *testing.T) *client {
@@ -68,7 +68,7 @@
 		method, target, contentType, len(body), body))
 }
 
-// search sends a search by GET with further parameters, as pairs of a name and a value.
+// search sends a search by GET. more contains further parameters, as pairs of name and value.
 func (c *client) search(target, cql string, more ...string) {
 	params := url.Values{"operation": {"searchRetrieve"}, "version": {"1.2"}, "query": {cql}}
 	for pair := range slices.Chunk(more, 2) {
@@ -77,30 +77,30 @@
 	c.send("GET", target+"?"+params.Encode(), "", "")
 }
 
-// request returns the one request that the core was sent.
+// request returns the only request that was posted to the core.
 func (c *client) request() *aggregator.Request {
 	c.t.Helper()
 	if len(c.requests) != 1 {
-		c.t.Fatalf("%d requests reach the core, want 1; %s", len(c.requests), c.written.String())
+		c.t.Fatalf("%d requests posted to the core, want 1; response %s", len(c.requests), c.written.String())
 	}
 	return c.requests[0]
 }
 
-// expect checks that the response has a status and contains these texts.
+// expect checks the status of the response and that the response contains each of the texts.
 func (c *client) expect(status int, texts ...string) {
 	c.t.Helper()
 	response := c.written.String()
 	if want := fmt.Sprintf("HTTP/1.1 %d ", status); !strings.HasPrefix(response, want) {
-		c.t.Errorf("want %q: %s", want, response)
+		c.t.Errorf("response does not start with %q: %s", want, response)
 	}
 	for _, text := range texts {
 		if !strings.Contains(response, text) {
-			c.t.Errorf("%q is not in %s", text, response)
+			c.t.Errorf("response does not contain %q: %s", text, response)
 		}
 	}
 }
 
-// served is an answer of so many records by one shard.
+// served returns a final answer with count records from shard 0.
 func served(count int, complete bool, missing ...int) aggregator.FinalAnswer {
 	result := query.PartResult{Count: count}
 	for i := range count {
@@ -127,7 +127,7 @@
 		t.Errorf("%+v", request)
 	}
 	if c.written.Len() > 0 {
-		t.Errorf("answered before the core: %s", c.written.String())
+		t.Errorf("response sent before the core answered: %s", c.written.String())
 	}
 }
 
@@ -146,12 +146,12 @@
 	c.expect(200, "<numberOfRecords>5<", "<line>2</line>", "<line>3</line>", "<nextRecordPosition>4<")
 	for _, other := range []string{"<line>1</line>", "<line>4</line>", "<diagnostic "} {
 		if strings.Contains(c.written.String(), other) {
-			t.Errorf("%q is in %s", other, c.written.String())
+			t.Errorf("response contains %q: %s", other, c.written.String())
 		}
 	}
 }
 
-// diagnosticURI is the end of a diagnostic's URI in a response, up to the tag behind it.
+// diagnosticURI returns the end of a diagnostic's URI in a response, including the < of the closing tag.
 func diagnosticURI(code int) string { return fmt.Sprintf("diagnostic/1/%d<", code) }
 
 func TestServer_Search_OutcomesOfTheCore(t *testing.T) {
@@ -162,19 +162,19 @@
 		texts  []string
 	}{
 		{
-			name:   "a partial answer is marked with what is missing",
+			name:   "a partial answer lists the missing shards",
 			answer: served(1, false, 1),
 			status: 200,
 			texts:  []string{"<line>1</line>", diagnosticURI(sru.PartialResults), "1 of 2 blocks", "not in: 1"},
 		},
 		{
-			name:   "an overload is an error of HTTP with Retry-After in whole seconds",
+			name:   "a rejection is an HTTP error with Retry-After in whole seconds",
 			answer: aggregator.FinalAnswer{Status: aggregator.StatusRejected, RetryAfter: 1100 * time.Millisecond},
 			status: 503,
 			texts:  []string{"Retry-After: 2\r\n", "refused; asking again is harmless"},
 		},
 		{
-			name:   "a deadline that has passed",
+			name:   "an expired deadline",
 			answer: aggregator.FinalAnswer{Status: aggregator.StatusFailed, DeadlineExceeded: true},
 			status: 200,
 			texts:  []string{diagnosticURI(sru.GeneralSystemError), "<details>timed out<", "<numberOfRecords>0<"},
@@ -186,7 +186,7 @@
 			texts:  []string{diagnosticURI(sru.GeneralSystemError), "<details>failed"},
 		},
 		{
-			name: "a diagnostic of a Z39.50 server",
+			name: "a diagnostic from a Z39.50 server",
 			answer: aggregator.FinalAnswer{
 				Status:   aggregator.StatusServed,
 				Complete: true,
@@ -250,7 +250,7 @@
 			c.search(test.target, "x", test.params...)
 			c.expect(200, test.want)
 			if len(c.requests) > 0 {
-				t.Errorf("the core is sent %+v", c.requests[0])
+				t.Errorf("request posted to the core: %+v", c.requests[0])
 			}
 		})
 	}
@@ -274,7 +274,7 @@
 	request := c.request()
 	c.handler.Closed(nil)
 	if !slices.Equal(c.canceled, []*aggregator.Request{request}) {
-		t.Errorf("%d requests are cancelled, want the one that was sent", len(c.canceled))
+		t.Errorf("%d requests canceled, want the one that was posted", len(c.canceled))
 	}
 }
 
@@ -283,6 +283,6 @@
 	c.send("POST", "/captions", "text/xml", "<nonsense")
 	c.expect(200, "<operationStatus>fail<", "diagnostic/")
 	if len(c.requests) > 0 {
-		t.Errorf("the core is sent %+v", c.requests[0])
+		t.Errorf("request posted to the core: %+v", c.requests[0])
 	}
 }
