--- a/internal/frontend/z3950/association.go
+++ b/internal/frontend/z3950/association.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	maxUnit        = 128 << 10 // bytes of an incomplete unit that are buffered
-	maxPending     = 8         // units that may wait for the operation in flight
-	minMessageSize = 4 << 10   // smallest message size that an association is opened with, in bytes
+	maxBufferedBytes = 128 << 10 // of an incomplete PDU
+	maxPendingPDUs   = 8         // waiting for the operation in flight
+	minMessageSize   = 4 << 10   // lower bound of the negotiated message size, in bytes
 
-	implementation = "rooktrestle" // sent in the response to Init
+	implementation = "rooktrestle" // implementation ID and name in InitResponse
 
-	requestedActionCancel = 3 // of TriggerControl
+	requestedActionCancel = 3 // value of requestedAction in TriggerResourceControl
 
-	// The first byte of every unit: a constructed value with a context tag.
-	unitIdentifierMask = 0xe0
-	unitIdentifier     = 0xa0
+	// Class and form bits in the first byte of every PDU: a constructed value with a context tag.
+	pduIdentifierMask = 0xe0
+	pduIdentifier     = 0xa0
 )
 
-// supportedOptions are the options that an association may be opened with, in the order of their bits.
+// supportedOptions are the options that InitResponse may grant, in the order of their bits.
 var supportedOptions = []int{
 	z3950.OptSearch,
 	z3950.OptPresent,
@@ -34,27 +34,27 @@
 	z3950.OptNamed,
 }
 
-// association is one association (session) on a connection. One operation is in flight at a time; units that arrive
-// meanwhile wait for it. Unless said otherwise, its methods are called with the lock held.
+// association is a Z39.50 association (session) on one connection. One operation is in flight at a time; PDUs that
+// arrive meanwhile are queued. Methods are called with mu held, unless their comment says otherwise.
 type association struct {
 	server *Server
 	conn   Conn
 
 	mu           sync.Mutex
-	buf          []byte // received and not decoded yet
-	initialized  bool   // Init was accepted
-	closed       bool   // nothing is received or sent any more
-	shuttingDown bool   // to be closed after the operation in flight
-	user         string // as given in Init; empty: anonymous
-	messageSize  int    // as agreed in Init, in bytes
-	sets         map[string]*resultSet
-	inFlight     *operation // nil: none
-	pending      []*z3950.Node
-	timer        *time.Timer // closes the association for lack of activity; nil: not limited yet
+	buf          []byte                // received bytes that are not decoded yet
+	initialized  bool                  // Init was accepted
+	closed       bool                  // PDUs are neither handled nor sent
+	shuttingDown bool                  // close when the operation in flight completes
+	user         string                // from Init; empty: anonymous
+	messageSize  int                   // negotiated in Init, in bytes
+	resultSets   map[string]*resultSet // by name
+	inFlight     *operation            // nil: none
+	pending      []*z3950.Node         // PDUs that wait for the operation in flight, in order of arrival
+	idleTimer    *time.Timer           // closes the association if it is idle; nil: not started
 }
 
-// Data decodes and handles units. It is called without the lock held. A panic in it closes the connection, and Closed
-// then cancels the operation in flight.
+// Data decodes and handles PDUs. It is called without the lock held. After a panic in Data the caller closes the
+// connection, and Closed then cancels the operation in flight.
 func (a *association) Data(data []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,12 +64,13 @@
 	a.restartIdleTimer()
 	a.buf = append(a.buf, data...)
 	for len(a.buf) > 0 && !a.closed {
-		unit, rest, err := z3950.Decode(a.buf)
-		// Checked before the unit is complete: a peer that speaks another protocol would be waited for otherwise.
-		if a.buf[0]&unitIdentifierMask != unitIdentifier {
+		pdu, rest, err := z3950.Decode(a.buf)
+		// Checked before the PDU is complete: otherwise the association would wait for more bytes from a peer that
+		// speaks another protocol.
+		if a.buf[0]&pduIdentifierMask != pduIdentifier {
 			err = errors.New("not a unit of this protocol")
 		}
-		if errors.Is(err, z3950.ErrMore) && len(a.buf) <= maxUnit {
+		if errors.Is(err, z3950.ErrMore) && len(a.buf) <= maxBufferedBytes {
 			return
 		}
 		if err != nil {
@@ -79,25 +80,27 @@
 		}
 		a.buf = append([]byte(nil), rest...)
 		a.server.increment(&a.server.count.Units)
-		a.receive(unit)
+		a.receive(pdu)
 	}
 	a.updateEvictionClass()
 }
 
-// Closed cancels the operation in flight and drops the result sets. It is called without the lock held.
+// Closed handles the end of the connection: it cancels the operation in flight and discards the result sets. It is
+// called without the lock held.
 func (a *association) Closed(error) {
 	a.mu.Lock()
 	a.closed = true
 	a.cancelOperations()
-	a.sets = nil
-	if a.timer != nil {
-		a.timer.Stop()
+	a.resultSets = nil
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
 	a.mu.Unlock()
-	a.server.forget(a)
+	a.server.remove(a)
 }
 
-// shutDown closes the association, after the operation in flight if there is one. It is called without the lock held.
+// shutDown closes the association, or has it closed when the operation in flight completes. It is called without the
+// lock held.
 func (a *association) shutDown() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +110,8 @@
 	}
 }
 
-// close sends a Close unit and closes the connection. An update in flight is cancelled: no part of it is retried.
+// close sends a Close PDU and closes the connection. An operation in flight is canceled; if it is an update, none of
+// its parts is retried.
 func (a *association) close(reason int, information string) {
 	if a.closed {
 		return
@@ -120,22 +124,24 @@
 	a.conn.CloseGracefully()
 }
 
-// restartIdleTimer restarts the timer at activity. Before Init the timer goes on, as one time limits all that comes before.
+// restartIdleTimer restarts the idle timer on activity. Before Init is accepted it does nothing: a single timeout
+// covers everything up to that point.
 func (a *association) restartIdleTimer() {
 	if a.initialized {
-		a.setTimer(a.server.times.Idle)
+		a.setIdleTimer(a.server.times.Idle)
 	}
 }
 
-// setTimer closes the association after a time without activity; 0: never.
-func (a *association) setTimer(after time.Duration) {
-	if a.timer != nil {
-		a.timer.Stop()
+// setIdleTimer replaces the idle timer: the association is closed once the timeout elapses, unless an operation is in
+// flight then. A timeout of 0 disables the timer.
+func (a *association) setIdleTimer(timeout time.Duration) {
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
-	if after <= 0 {
+	if timeout <= 0 {
 		return
 	}
-	a.timer = time.AfterFunc(after, func() {
+	a.idleTimer = time.AfterFunc(timeout, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.inFlight == nil {
@@ -144,83 +150,84 @@
 	})
 }
 
-// send writes a unit.
-func (a *association) send(unit *z3950.Node) { a.conn.Write(unit.Encode(nil), nil) }
+// send writes a PDU.
+func (a *association) send(pdu *z3950.Node) { a.conn.Write(pdu.Encode(nil), nil) }
 
-// receive handles a unit, or lets it wait for the operation in flight.
-func (a *association) receive(unit *z3950.Node) {
+// receive handles a PDU. While an operation is in flight, Close and TriggerResourceControl are handled at once and all
+// other PDUs are queued.
+func (a *association) receive(pdu *z3950.Node) {
 	switch {
-	case unit.Tag == z3950.ClosePDU:
+	case pdu.Tag == z3950.ClosePDU:
 		a.close(z3950.CloseFinished, "")
-	case unit.Tag == z3950.TriggerControl:
-		if unit.Child(z3950.FieldRequestedAction).IntOr(0) == requestedActionCancel && a.inFlight != nil {
+	case pdu.Tag == z3950.TriggerControl:
+		if pdu.Child(z3950.FieldRequestedAction).IntOr(0) == requestedActionCancel && a.inFlight != nil {
 			a.cancelInFlight()
 		}
 	case a.inFlight != nil:
-		a.pending = append(a.pending, unit)
-		// Guards memory against an origin that sends requests without end.
-		if len(a.pending) > maxPending {
+		a.pending = append(a.pending, pdu)
+		// Bounds the memory that an origin can occupy with pipelined requests.
+		if len(a.pending) > maxPendingPDUs {
 			a.close(z3950.CloseLimits, "too many requests at once")
 		}
 	default:
-		a.perform(unit)
+		a.perform(pdu)
 	}
 }
 
-// performPending handles the units that waited for the operation in flight, which is finished.
+// performPending handles the pending PDUs after the operation in flight has ended.
 func (a *association) performPending() {
 	a.inFlight = nil
 	if a.shuttingDown {
 		a.close(z3950.CloseShutdown, "the target shuts down")
 	}
 	for a.inFlight == nil && len(a.pending) > 0 && !a.closed {
-		unit := a.pending[0]
+		pdu := a.pending[0]
 		a.pending = a.pending[1:]
-		a.perform(unit)
+		a.perform(pdu)
 	}
 }
 
-// perform handles a unit while no operation is in flight.
-func (a *association) perform(unit *z3950.Node) {
-	if unit.Tag == z3950.InitRequest && !a.initialized {
-		a.initialize(unit)
+// perform handles a PDU while no operation is in flight.
+func (a *association) perform(pdu *z3950.Node) {
+	if pdu.Tag == z3950.InitRequest && !a.initialized {
+		a.initialize(pdu)
 		return
 	}
-	if !a.initialized || unit.Tag == z3950.InitRequest {
+	if !a.initialized || pdu.Tag == z3950.InitRequest {
 		a.close(z3950.CloseProtocol, "init once, and first")
 		return
 	}
-	switch unit.Tag {
+	switch pdu.Tag {
 	case z3950.SearchRequest:
-		a.search(unit)
+		a.search(pdu)
 	case z3950.PresentRequest:
-		a.present(unit)
+		a.present(pdu)
 	case z3950.DeleteRequest:
-		a.deleteResultSets(unit)
+		a.deleteResultSets(pdu)
 	case z3950.EsRequest:
-		a.update(unit)
+		a.update(pdu)
 	default:
 		a.server.increment(&a.server.count.Bad)
-		a.close(z3950.CloseProtocol, fmt.Sprintf("unit %d is not served", unit.Tag))
+		a.close(z3950.CloseProtocol, fmt.Sprintf("unit %d is not served", pdu.Tag))
 	}
 }
 
-// initialize answers Init. An origin of a version before 3, or a user that is not configured, is rejected.
-func (a *association) initialize(unit *z3950.Node) {
-	a.user = userOf(unit.Child(z3950.FieldAuthentication).OnlyChild())
-	const version3 = 2 // bit
-	accepted := unit.Child(z3950.FieldVersion).Bit(version3) && (a.user == "" || a.server.Service.Tenant(a.user) >= 0)
+// initialize responds to Init. It rejects an origin that does not offer version 3, and a user that is not configured.
+func (a *association) initialize(pdu *z3950.Node) {
+	a.user = userOf(pdu.Child(z3950.FieldAuthentication).OnlyChild())
+	const version3 = 2 // bit of the version field
+	accepted := pdu.Child(z3950.FieldVersion).Bit(version3) && (a.user == "" || a.server.Service.Tenant(a.user) >= 0)
 	options := []int{}
 	for _, option := range supportedOptions {
-		if unit.Child(z3950.FieldOptions).Bit(option) {
+		if pdu.Child(z3950.FieldOptions).Bit(option) {
 			options = append(options, option)
 		}
 	}
-	requestedSize := unit.Child(z3950.FieldPreferredMessageSize).IntOr(z3950.MaxPDU)
+	requestedSize := pdu.Child(z3950.FieldPreferredMessageSize).IntOr(z3950.MaxPDU)
 	a.messageSize = min(z3950.MaxPDU, max(minMessageSize, requestedSize))
 	a.initialized = accepted
 	a.send(z3950.Constructed(z3950.InitResponse,
-		unit.Child(z3950.FieldReferenceID),
+		pdu.Child(z3950.FieldReferenceID),
 		z3950.BitString(z3950.FieldVersion, 0, 1, 2),
 		z3950.BitString(z3950.FieldOptions, options...),
 		z3950.Integer(z3950.FieldPreferredMessageSize, a.messageSize),
@@ -234,7 +241,8 @@
 	}
 }
 
-// userOf returns the user of an authentication, in its form "user/password" or by fields; empty if it has none.
+// userOf returns the user name of an authentication, which is the string "user/password" or a structure with a user ID;
+// empty if there is none.
 func userOf(authentication *z3950.Node) string {
 	switch {
 	case authentication == nil:
--- a/internal/frontend/z3950/association_test.go
+++ b/internal/frontend/z3950/association_test.go
@@ -12,36 +12,36 @@
 	"rooktrestle/internal/query"
 )
 
-// fakeConn records the units that are written to a connection, and how it is closed.
+// fakeConn records the PDUs that are written to a connection, and how it is closed.
 type fakeConn struct {
 	t       *testing.T
-	units   []*z3950.Node
+	pdus    []*z3950.Node
 	closed  bool // gracefully
 	evicted bool
 }
 
 func (c *fakeConn) Write(b []byte, _ func(tcp.WriteResult)) {
 	c.t.Helper()
-	unit, rest, err := z3950.Decode(b)
+	pdu, rest, err := z3950.Decode(b)
 	if err != nil || len(rest) > 0 {
 		c.t.Fatalf("written % x: %v", b, err)
 	}
-	c.units = append(c.units, unit)
+	c.pdus = append(c.pdus, pdu)
 }
 func (c *fakeConn) CloseGracefully() { c.closed = true }
 func (c *fakeConn) CloseAndWait()    { c.evicted = true }
 func (c *fakeConn) PeerClosed() bool { return c.closed || c.evicted }
 
-// origin is the client's side of an association.
+// origin is the client side of an association.
 type origin struct {
 	*fakeConn
 	server   *Server
 	handler  tcp.Handler
-	requests []*aggregator.Request // that the gateway was sent, and not answered yet
-	canceled int
+	requests []*aggregator.Request // posted to the core and not answered yet
+	canceled int                   // requests whose client disconnected
 }
 
-// newOrigin opens a connection to a server with one database.
+// newOrigin opens a connection to a server with one database, without Init.
 func newOrigin(t *testing.T) *origin {
 	t.Helper()
 	o := &origin{fakeConn: &fakeConn{t: t}}
@@ -65,29 +65,29 @@
 	return o
 }
 
-// newAssociation opens an association.
+// newAssociation opens a connection and an association on it by Init.
 func newAssociation(t *testing.T) *origin {
 	t.Helper()
 	o := newOrigin(t)
-	o.send(initUnit("ann", 2))
+	o.send(initPDU("ann", 2))
 	if response := o.last(); response.Tag != z3950.InitResponse || !response.Child(z3950.FieldInitResult).Bool() {
-		t.Fatalf("Init is answered by %+v", response)
+		t.Fatalf("response to Init: %+v", response)
 	}
 	return o
 }
 
-func (o *origin) send(unit *z3950.Node) { o.handler.Data(unit.Encode(nil)) }
+func (o *origin) send(pdu *z3950.Node) { o.handler.Data(pdu.Encode(nil)) }
 
-// last returns the unit that was received last.
+// last returns the PDU that the server sent last.
 func (o *origin) last() *z3950.Node {
 	o.t.Helper()
-	if len(o.units) == 0 {
-		o.t.Fatal("no unit was sent")
+	if len(o.pdus) == 0 {
+		o.t.Fatal("no PDU was sent")
 	}
-	return o.units[len(o.units)-1]
+	return o.pdus[len(o.pdus)-1]
 }
 
-// answer finishes the oldest request with so many records found, of which up to ten were fetched.
+// answer answers the oldest request with count matching records, of which up to prefetchCount are fetched.
 func (o *origin) answer(count int) {
 	o.t.Helper()
 	if len(o.requests) == 0 {
@@ -96,7 +96,7 @@
 	request := o.requests[0]
 	o.requests = o.requests[1:]
 	result := query.PartResult{Count: count}
-	for range min(count, prefetch) {
+	for range min(count, prefetchCount) {
 		result.Records = append(result.Records, query.Record{XML: "<record/>"})
 	}
 	request.Frontend.Answer(aggregator.FinalAnswer{
@@ -106,14 +106,14 @@
 	})
 }
 
-func initUnit(user string, version int) *z3950.Node {
+func initPDU(user string, version int) *z3950.Node {
 	return z3950.Constructed(z3950.InitRequest,
 		z3950.BitString(z3950.FieldVersion, version),
 		z3950.BitString(z3950.FieldOptions, z3950.OptSearch),
 		z3950.Constructed(z3950.FieldAuthentication, z3950.Constructed(0, z3950.String(z3950.FieldUserID, user))))
 }
 
-func searchUnit(t *testing.T, set string, replace bool) *z3950.Node {
+func searchPDU(t *testing.T, set string, replace bool) *z3950.Node {
 	t.Helper()
 	tree, err := query.Parse("cat")
 	if err != nil {
@@ -130,14 +130,14 @@
 		z3950.Constructed(z3950.FieldQuery, rpn))
 }
 
-func presentUnit(set string, start, number int) *z3950.Node {
+func presentPDU(set string, start, number int) *z3950.Node {
 	return z3950.Constructed(z3950.PresentRequest,
 		z3950.String(z3950.FieldResultSetID, set),
 		z3950.Integer(z3950.FieldStartPoint, start),
 		z3950.Integer(z3950.FieldRecordsRequested, number))
 }
 
-func cancelUnit() *z3950.Node {
+func cancelPDU() *z3950.Node {
 	return z3950.Constructed(z3950.TriggerControl, z3950.Integer(z3950.FieldRequestedAction, requestedActionCancel))
 }
 
@@ -146,14 +146,14 @@
 		name string
 		init *z3950.Node
 	}{
-		{"an unknown user", initUnit("eve", 2)},
-		{"a version before 3", initUnit("ann", 1)},
+		{"an unknown user", initPDU("eve", 2)},
+		{"a version before 3", initPDU("ann", 1)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o := newOrigin(t)
 			o.send(test.init)
 			if o.last().Child(z3950.FieldInitResult).Bool() || !o.closed {
-				t.Errorf("answered by %+v, closed %v", o.last(), o.closed)
+				t.Errorf("response %+v, closed %v", o.last(), o.closed)
 			}
 		})
 	}
@@ -164,9 +164,9 @@
 		name string
 		data []byte
 	}{
-		{"a search before Init", presentUnit("set", 1, 1).Encode(nil)},
+		{"a Present before Init", presentPDU("set", 1, 1).Encode(nil)},
 		{"another protocol", []byte("GET / HTTP/1.1\r\n")},
-		{"an unknown unit", z3950.Constructed(99).Encode(nil)},
+		{"an unknown PDU", z3950.Constructed(99).Encode(nil)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			o := newOrigin(t)
@@ -174,7 +174,7 @@
 			last := o.last()
 			reason := last.Child(z3950.FieldCloseReason).IntOr(-1)
 			if last.Tag != z3950.ClosePDU || reason != z3950.CloseProtocol || !o.closed {
-				t.Errorf("answered by %+v, closed %v", o.last(), o.closed)
+				t.Errorf("response %+v, closed %v", o.last(), o.closed)
 			}
 		})
 	}
@@ -182,31 +182,31 @@
 
 func TestAssociation_SearchAndPresent(t *testing.T) {
 	o := newAssociation(t)
-	o.send(searchUnit(t, "set", false))
+	o.send(searchPDU(t, "set", false))
 	o.answer(12)
 	if response := o.last(); response.Tag != z3950.SearchResponse || response.Child(z3950.FieldResultCount).IntOr(-1) != 12 {
-		t.Fatalf("Search is answered by %+v", response)
+		t.Fatalf("response to Search: %+v", response)
 	}
-	o.send(presentUnit("set", 2, 3))
+	o.send(presentPDU("set", 2, 3))
 	if got := o.last().Child(z3950.FieldNextPosition).IntOr(-1); got != 5 || len(o.requests) != 0 {
-		t.Errorf("records that were fetched with the search: next position %d, %d requests", got, len(o.requests))
+		t.Errorf("Present of prefetched records: next position %d, want 5; %d requests, want 0", got, len(o.requests))
 	}
-	o.send(presentUnit("set", 11, 2))
+	o.send(presentPDU("set", 11, 2))
 	if len(o.requests) != 1 {
-		t.Fatalf("records that were not fetched: %d requests", len(o.requests))
+		t.Fatalf("Present of records that are not cached: %d requests, want 1", len(o.requests))
 	}
 	o.answer(12)
 	for _, test := range []struct {
 		name string
-		unit *z3950.Node
+		pdu  *z3950.Node
 		want int
 	}{
-		{"a result set that exists is not replaced", searchUnit(t, "set", false), diagResultSetExists},
-		{"a result set without a name", searchUnit(t, "", true), diagIllegalResultSetName},
-		{"an unknown result set", presentUnit("none", 1, 1), diagNoSuchResultSet},
-		{"records beyond the result set", presentUnit("set", 12, 2), diagPresentOutOfRange},
+		{"a result set that exists is not replaced", searchPDU(t, "set", false), diagResultSetExists},
+		{"a result set without a name", searchPDU(t, "", true), diagIllegalResultSetName},
+		{"an unknown result set", presentPDU("none", 1, 1), diagNoSuchResultSet},
+		{"records beyond the result set", presentPDU("set", 12, 2), diagPresentOutOfRange},
 	} {
-		o.send(test.unit)
+		o.send(test.pdu)
 		if d := z3950.ParseDiagnostic(o.last().Child(z3950.FieldDiagnostic)); d == nil || d.Bib1 != test.want {
 			t.Errorf("%s: %+v, want diagnostic %d", test.name, d, test.want)
 		}
@@ -215,49 +215,49 @@
 
 func TestAssociation_Cancel_GoesOnWithPendingUnits(t *testing.T) {
 	o := newAssociation(t)
-	o.send(searchUnit(t, "first", false))
-	o.send(searchUnit(t, "second", false))
+	o.send(searchPDU(t, "first", false))
+	o.send(searchPDU(t, "second", false))
 	if len(o.requests) != 1 {
 		t.Fatalf("%d requests in flight, want 1", len(o.requests))
 	}
-	o.send(cancelUnit())
+	o.send(cancelPDU())
 	if d := z3950.ParseDiagnostic(o.last().Child(z3950.FieldDiagnostic)); d == nil || d.Bib1 != diagTerminatedByOrigin {
-		t.Errorf("the first search is answered by %+v", o.last())
+		t.Errorf("response to the canceled search: %+v", o.last())
 	}
 	if o.canceled != 1 || len(o.requests) != 2 {
-		t.Errorf("%d requests cancelled, %d sent; want 1 and 2", o.canceled, len(o.requests))
+		t.Errorf("%d requests canceled, %d sent; want 1 and 2", o.canceled, len(o.requests))
 	}
-	units := len(o.units)
-	o.answer(1) // of the first search, too late
-	if len(o.units) != units {
-		t.Errorf("a cancelled search is answered by %+v", o.last())
+	pdus := len(o.pdus)
+	o.answer(1) // of the canceled search
+	if len(o.pdus) != pdus {
+		t.Errorf("second response to a canceled search: %+v", o.last())
 	}
 }
 
 func TestAssociation_TooManyPendingUnits(t *testing.T) {
 	o := newAssociation(t)
-	for range maxPending + 1 {
-		o.send(searchUnit(t, "set", false))
+	for range maxPendingPDUs + 1 {
+		o.send(searchPDU(t, "set", false))
 	}
 	if o.closed {
-		t.Fatalf("closed with %d units pending", maxPending)
+		t.Fatalf("closed with %d PDUs pending", maxPendingPDUs)
 	}
-	o.send(searchUnit(t, "set", false))
+	o.send(searchPDU(t, "set", false))
 	if o.last().Child(z3950.FieldCloseReason).IntOr(-1) != z3950.CloseLimits || !o.closed || o.canceled != 1 {
-		t.Errorf("answered by %+v, closed %v, %d requests cancelled", o.last(), o.closed, o.canceled)
+		t.Errorf("response %+v, closed %v, %d requests canceled", o.last(), o.closed, o.canceled)
 	}
 }
 
 func TestServer_Shutdown_OperationInFlight(t *testing.T) {
 	o := newAssociation(t)
-	o.send(searchUnit(t, "set", false))
+	o.send(searchPDU(t, "set", false))
 	o.server.Shutdown()
 	if o.closed {
-		t.Fatal("closed before the operation in flight was finished")
+		t.Fatal("closed before the operation in flight completed")
 	}
 	o.answer(1)
 	if o.last().Child(z3950.FieldCloseReason).IntOr(-1) != z3950.CloseShutdown || !o.closed {
-		t.Errorf("answered by %+v, closed %v", o.last(), o.closed)
+		t.Errorf("response %+v, closed %v", o.last(), o.closed)
 	}
 	o.handler.Closed(nil)
 	if open := o.server.OpenAssociations(); open != 0 {
@@ -267,7 +267,7 @@
 
 func TestServer_Room_EvictsIdleAssociationsOnly(t *testing.T) {
 	busy := newAssociation(t)
-	busy.send(searchUnit(t, "set", false))
+	busy.send(searchPDU(t, "set", false))
 	if busy.server.EvictIdle() || busy.evicted {
 		t.Error("an association with an operation in flight is evicted")
 	}
--- a/internal/frontend/z3950/eviction.go
+++ b/internal/frontend/z3950/eviction.go
@@ -2,10 +2,10 @@
 
 import "rooktrestle/internal/control/eviction"
 
-// EvictIdle evicts an association to free its connection for a new one, and returns whether there was one to evict; its
-// connection is closed before Room returns. It guards the limit on connections against origins that connect and stay
-// silent, or open an association and do nothing. An association with an operation in flight, or with result sets in recent
-// use, is never evicted.
+// EvictIdle evicts one association to make room for a new connection, and returns whether one could be evicted; its
+// connection is closed before EvictIdle returns. Without eviction, origins that connect and send nothing, or open an
+// association and stay idle, could exhaust the connection limit. An association with an operation in flight, or with
+// result sets that were used recently, is never evicted.
 func (s *Server) EvictIdle() bool {
 	s.mu.Lock()
 	a, ok := s.evictable.Evict(s.now())
@@ -17,7 +17,7 @@
 		return false
 	}
 	a.mu.Lock()
-	busy := a.inFlight != nil // an operation has begun since the choice
+	busy := a.inFlight != nil // an operation started after the association was chosen
 	a.closed = a.closed || !busy
 	a.mu.Unlock()
 	if busy {
@@ -28,7 +28,8 @@
 	return true
 }
 
-// setEvictionClass sets the class that decides when an open association may be evicted.
+// setEvictionClass sets the association's eviction class, if it is still open. It is called with or without the lock
+// held.
 func (a *association) setEvictionClass(class eviction.Class) {
 	a.server.mu.Lock()
 	defer a.server.mu.Unlock()
@@ -37,15 +38,15 @@
 	}
 }
 
-// updateEvictionClass sets the class from the association's state. It is called with the association's lock held.
+// updateEvictionClass derives the eviction class from the association's state. It is called with the lock held.
 func (a *association) updateEvictionClass() {
 	switch {
 	case a.closed:
 	case a.inFlight != nil:
 		a.setEvictionClass(eviction.Busy)
 	case !a.initialized:
-		// The class stays, and with it the time in it: units before Init don't count as use.
-	case len(a.sets) > 0:
+		// Keeps the class Unused and the time since it was set: PDUs before Init don't count as use.
+	case len(a.resultSets) > 0:
 		a.setEvictionClass(eviction.Stateful)
 	default:
 		a.setEvictionClass(eviction.Idle)
--- a/internal/frontend/z3950/operation.go
+++ b/internal/frontend/z3950/operation.go
@@ -11,7 +11,7 @@
 	"rooktrestle/internal/query"
 )
 
-// Diagnostics of the bib-1 diagnostic set that the target sends.
+// Codes of the bib-1 diagnostic set that the target sends.
 const (
 	diagTemporaryError       = 2
 	diagPresentOutOfRange    = 13
@@ -31,16 +31,16 @@
 	diagRangesNotSupported   = 243
 )
 
-// Values of fields in responses.
+// Values of response fields.
 const (
 	presentStatusSuccess   = 0
 	presentStatusPartial   = 2 // fewer records than requested fit into the message
 	presentStatusFailure   = 5
-	resultSetStatusSubset  = 1 // the result set holds a valid part of the results
+	resultSetStatusSubset  = 1 // the result set contains a valid subset of the results
 	resultSetStatusNone    = 3 // there is no result set
 	operationStatusDone    = 1 // of an extended service
 	operationStatusFailure = 3
-	nextPositionNone       = 0 // there is no record after those that were sent
+	nextPositionNone       = 0 // no record follows those in the response
 )
 
 // diagnostic is a bib-1 diagnostic with its additional information.
@@ -49,39 +49,39 @@
 	details string
 }
 
-// operation is a request that an association performs.
+// operation is a request that an association handles.
 type operation struct {
-	reference *z3950.Node // reference ID of the request, nil if it has none
-	request   int         // tag of the request
-	cancel    gateway.Cancel
-	finished  bool // its response was sent, or it was cancelled
+	referenceID *z3950.Node // of the request; nil: none
+	requestTag  int
+	cancel      gateway.Cancel
+	ended       bool // the response was sent, or the operation was canceled
 }
 
-// newOperation returns the operation of a request.
-func newOperation(unit *z3950.Node) *operation {
-	return &operation{reference: unit.Child(z3950.FieldReferenceID), request: unit.Tag}
+// newOperation returns the operation for a request PDU.
+func newOperation(pdu *z3950.Node) *operation {
+	return &operation{referenceID: pdu.Child(z3950.FieldReferenceID), requestTag: pdu.Tag}
 }
 
-// caller is who the association's operations are for.
+// caller returns the gateway's caller for the association's operations.
 func (a *association) caller() gateway.Caller {
 	return gateway.Caller{User: a.user, Disconnected: func(time.Time) bool { return a.conn.PeerClosed() }}
 }
 
-// starter starts an operation at the gateway. It returns either its outcome, if that is known at once, or how to cancel
-// it, and then done is called later with the outcome, on the event loop.
-type starter func(done func(gateway.Outcome)) (gateway.Cancel, *gateway.Outcome)
+// startFunc starts an operation at the gateway. If the outcome is known at once, it returns the outcome. Otherwise it
+// returns a function that cancels the operation, and calls done with the outcome later, on the event loop.
+type startFunc func(done func(gateway.Outcome)) (gateway.Cancel, *gateway.Outcome)
 
-// start puts an operation in flight. respond is called with its outcome and with the lock held, once, unless the operation
-// is cancelled before.
-func (a *association) start(operation *operation, start starter, respond func(gateway.Outcome)) {
+// start starts an operation. respond is called once with its outcome, with the lock held, unless the operation is
+// canceled first.
+func (a *association) start(operation *operation, start startFunc, respond func(gateway.Outcome)) {
 	a.inFlight = operation
 	cancel, immediate := start(func(outcome gateway.Outcome) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if operation.finished || a.closed {
+		if operation.ended || a.closed {
 			return
 		}
-		operation.finished = true
+		operation.ended = true
 		respond(outcome)
 		a.restartIdleTimer()
 		a.performPending()
@@ -89,21 +89,21 @@
 	})
 	operation.cancel = cancel
 	if immediate != nil {
-		operation.finished = true
+		operation.ended = true
 		a.inFlight = nil
 		respond(*immediate)
 	}
 }
 
-// abort marks an operation as finished and cancels it at the gateway.
+// abort marks an operation as ended and cancels it at the gateway.
 func (o *operation) abort() {
-	o.finished = true
+	o.ended = true
 	if o.cancel != nil {
 		o.cancel()
 	}
 }
 
-// cancelInFlight cancels the operation in flight as the origin requested, and goes on with the pending units.
+// cancelInFlight cancels the operation in flight at the origin's request, and then handles the pending PDUs.
 func (a *association) cancelInFlight() {
 	operation := a.inFlight
 	operation.abort()
@@ -111,20 +111,20 @@
 	a.performPending()
 }
 
-// cancelOperations cancels the operation in flight and drops the pending units.
+// cancelOperations cancels the operation in flight and discards the pending PDUs.
 func (a *association) cancelOperations() {
-	if a.inFlight != nil && !a.inFlight.finished {
+	if a.inFlight != nil && !a.inFlight.ended {
 		a.inFlight.abort()
 	}
 	a.inFlight, a.pending = nil, nil
 }
 
-// fail responds to a request with a diagnostic.
+// fail responds to a request with a diagnostic, in the response PDU of the request's type.
 func (a *association) fail(operation *operation, problem diagnostic) {
-	switch operation.request {
+	switch operation.requestTag {
 	case z3950.SearchRequest:
 		a.send(z3950.Constructed(z3950.SearchResponse,
-			operation.reference,
+			operation.referenceID,
 			z3950.Integer(z3950.FieldResultCount, 0),
 			z3950.Integer(z3950.FieldRecordsReturned, 0),
 			z3950.Integer(z3950.FieldNextPosition, nextPositionNone),
@@ -133,20 +133,20 @@
 			z3950.Diagnostic(z3950.FieldDiagnostic, problem.code, problem.details)))
 	case z3950.PresentRequest:
 		a.send(z3950.Constructed(z3950.PresentResponse,
-			operation.reference,
+			operation.referenceID,
 			z3950.Integer(z3950.FieldRecordsReturned, 0),
 			z3950.Integer(z3950.FieldNextPosition, nextPositionNone),
 			z3950.Integer(z3950.FieldPresentStatus, presentStatusFailure),
 			z3950.Diagnostic(z3950.FieldDiagnostic, problem.code, problem.details)))
 	case z3950.EsRequest:
 		a.send(z3950.Constructed(z3950.EsResponse,
-			operation.reference,
+			operation.referenceID,
 			z3950.Integer(z3950.FieldEsOperationStatus, operationStatusFailure),
 			z3950.Constructed(z3950.FieldEsDiagnostics, z3950.DiagnosticSequence(problem.code, problem.details))))
 	}
 }
 
-// diagnosticOf returns the diagnostic of an outcome without results.
+// diagnosticOf returns the diagnostic for an outcome without results.
 func diagnosticOf(outcome gateway.Outcome) diagnostic {
 	switch outcome.Kind {
 	case gateway.Rejected:
@@ -166,7 +166,7 @@
 	return diagnostic{diagUnspecified, strings.TrimSpace("failed " + outcome.Details)}
 }
 
-// diagnosticOfError returns the diagnostic of a query that cannot be read or performed.
+// diagnosticOfError returns the diagnostic for a query that cannot be parsed or resolved.
 func diagnosticOfError(err error) diagnostic {
 	var queryError *query.Error
 	if errors.As(err, &queryError) {
--- a/internal/frontend/z3950/resultset.go
+++ b/internal/frontend/z3950/resultset.go
@@ -6,36 +6,36 @@
 	"rooktrestle/internal/query"
 )
 
-// Sizes of a response in bytes, as estimated for the agreed message size.
+// Estimated encoding overhead in bytes, subtracted from the negotiated message size.
 const (
 	responseOverhead = 512
-	recordOverhead   = 64 // of each record
+	recordOverhead   = 64 // per record
 )
 
-// Values of fields of a request to delete result sets, and of its response.
+// Values of fields of DeleteResultSetRequest and DeleteResultSetResponse.
 const (
 	deleteFunctionAll     = 1
 	deleteStatusSuccess   = 0
 	deleteStatusNoSuchSet = 1
 )
 
-// resultSet is the result of a search. It belongs to its association and is dropped with it.
+// resultSet is the result of a search. It belongs to one association and is discarded with it.
 type resultSet struct {
 	query     query.Node
 	databases []string
 	count     int            // records that match the query
-	records   []query.Record // the first of them
-	fetched   int            // how many records were requested from the servers; all present ones up to it are in records
+	records   []query.Record // cached records, from the first match on
+	fetched   int            // position up to which records were requested from the servers; records has all that exist
 }
 
-// page returns the fetched records from a position on, which counts from 1.
+// page returns up to number cached records from position start, which counts from 1.
 func (s *resultSet) page(start, number int) []query.Record {
 	fetched := gateway.Outcome{Records: s.records}
 	return fetched.Page(start, number)
 }
 
-// fitting returns as many of the records as the agreed message size has room for, but at least one.
-func (a *association) fitting(records []query.Record) []query.Record {
+// limitToMessageSize returns as many of the records as fit into a message of the negotiated size, but at least one.
+func (a *association) limitToMessageSize(records []query.Record) []query.Record {
 	space := a.messageSize - responseOverhead
 	for i, record := range records {
 		space -= len(record.XML) + recordOverhead
@@ -46,7 +46,7 @@
 	return records
 }
 
-// presentStatus returns the status of a response with fewer or as many records as requested.
+// presentStatus returns the present status of a response with sent out of requested records.
 func presentStatus(sent, requested int) int {
 	if sent < requested {
 		return presentStatusPartial
@@ -54,9 +54,9 @@
 	return presentStatusSuccess
 }
 
-// recordSyntax returns the record syntax that a request prefers, XML by default, and whether it is supported.
-func recordSyntax(unit *z3950.Node) (oid string, supported bool) {
-	field := unit.Child(z3950.FieldRecordSyntax)
+// recordSyntax returns a request's preferred record syntax, XML by default, and whether it is supported.
+func recordSyntax(pdu *z3950.Node) (oid string, supported bool) {
+	field := pdu.Child(z3950.FieldRecordSyntax)
 	if field == nil {
 		return z3950.OidXML, true
 	}
@@ -64,28 +64,28 @@
 	return oid, oid == z3950.OidXML || oid == z3950.OidSUTRS
 }
 
-// deleteResultSets handles a request to delete all result sets or those of a list.
-func (a *association) deleteResultSets(unit *z3950.Node) {
+// deleteResultSets handles a request to delete all result sets or those in a list.
+func (a *association) deleteResultSets(pdu *z3950.Node) {
 	status := deleteStatusSuccess
-	if unit.Child(z3950.FieldDeleteFunction).IntOr(-1) == deleteFunctionAll {
-		clear(a.sets)
+	if pdu.Child(z3950.FieldDeleteFunction).IntOr(-1) == deleteFunctionAll {
+		clear(a.resultSets)
 	} else {
-		for _, name := range resultSetList(unit) {
-			if a.sets[name] == nil {
+		for _, name := range resultSetList(pdu) {
+			if a.resultSets[name] == nil {
 				status = deleteStatusNoSuchSet
 			}
-			delete(a.sets, name)
+			delete(a.resultSets, name)
 		}
 	}
 	a.send(z3950.Constructed(z3950.DeleteResponse,
-		unit.Child(z3950.FieldReferenceID),
+		pdu.Child(z3950.FieldReferenceID),
 		z3950.Integer(z3950.FieldDeleteOperationStatus, status)))
 }
 
-// resultSetList returns the names of result sets in a request to delete them.
-func resultSetList(unit *z3950.Node) []string {
+// resultSetList returns the names of the result sets that a delete request lists.
+func resultSetList(pdu *z3950.Node) []string {
 	var names []string
-	for _, field := range unit.Children {
+	for _, field := range pdu.Children {
 		if field.Class != z3950.Universal || field.Tag != z3950.TagSequence {
 			continue
 		}
--- a/internal/frontend/z3950/search.go
+++ b/internal/frontend/z3950/search.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	prefetch     = 10 // records fetched with a search, for the first presents
-	maxDatabases = 16 // that one search may name
+	prefetchCount = 10 // minimum number of records fetched by a search, to serve the first Presents
+	maxDatabases  = 16 // in one search
 )
 
-// searchRequest is a Search unit. The record counts decide how many records its response carries: all of a small set, some
-// of a medium one, none of a large one.
+// searchRequest contains the decoded fields of a Search PDU. The bounds determine how many records the response
+// includes: all of a small result set, mediumSent of a medium one, none of a large one.
 type searchRequest struct {
 	setName    string
-	replace    bool // an existing result set of the name may be replaced
+	replace    bool // an existing result set of that name may be replaced
 	databases  []string
 	rpn        *z3950.Node
 	syntax     string // object identifier of the record syntax
-	supported  bool   // the record syntax is supported
-	smallMax   int    // most records of a small set
-	largeMin   int    // fewest records of a large set
-	mediumSent int    // records sent of a medium set
+	supported  bool   // whether syntax is supported
+	smallMax   int    // maximum record count of a small set
+	largeMin   int    // minimum record count of a large set
+	mediumSent int    // records of a medium set in the response
 }
 
-// parseSearch reads the fields of a Search unit, all but the query.
-func parseSearch(unit *z3950.Node) searchRequest {
+// parseSearch decodes the fields of a Search PDU; the query itself is decoded by parseQuery.
+func parseSearch(pdu *z3950.Node) searchRequest {
 	request := searchRequest{
-		setName:    unit.Child(z3950.FieldResultSetName).Text(),
-		replace:    unit.Child(z3950.FieldReplaceIndicator).Bool(),
-		rpn:        unit.Child(z3950.FieldQuery),
-		smallMax:   unit.Child(z3950.FieldSmallSetUpperBound).IntOr(0),
-		largeMin:   unit.Child(z3950.FieldLargeSetLowerBound).IntOr(1),
-		mediumSent: unit.Child(z3950.FieldMediumSetPresentNumber).IntOr(0),
+		setName:    pdu.Child(z3950.FieldResultSetName).Text(),
+		replace:    pdu.Child(z3950.FieldReplaceIndicator).Bool(),
+		rpn:        pdu.Child(z3950.FieldQuery),
+		smallMax:   pdu.Child(z3950.FieldSmallSetUpperBound).IntOr(0),
+		largeMin:   pdu.Child(z3950.FieldLargeSetLowerBound).IntOr(1),
+		mediumSent: pdu.Child(z3950.FieldMediumSetPresentNumber).IntOr(0),
 	}
-	request.syntax, request.supported = recordSyntax(unit)
-	if names := unit.Child(z3950.FieldDatabaseNames); names != nil {
+	request.syntax, request.supported = recordSyntax(pdu)
+	if names := pdu.Child(z3950.FieldDatabaseNames); names != nil {
 		for _, name := range names.Children {
 			request.databases = append(request.databases, name.Text())
 		}
@@ -46,7 +46,7 @@
 	return request
 }
 
-// recordsSent returns how many of count records the response should carry.
+// recordsSent returns how many records the response should include if count records match.
 func (r *searchRequest) recordsSent(count int) int {
 	switch {
 	case count <= r.smallMax:
@@ -57,10 +57,10 @@
 	return 0
 }
 
-// search handles a Search unit.
-func (a *association) search(unit *z3950.Node) {
-	operation := newOperation(unit)
-	request := parseSearch(unit)
+// search handles a Search PDU.
+func (a *association) search(pdu *z3950.Node) {
+	operation := newOperation(pdu)
+	request := parseSearch(pdu)
 	if problem := a.checkSearch(&request); problem != nil {
 		a.fail(operation, *problem)
 		return
@@ -70,11 +70,11 @@
 		a.fail(operation, diagnosticOfError(err))
 		return
 	}
-	fetch := min(a.server.Service.Config.Limits.MaxRecords, max(prefetch, request.smallMax, request.mediumSent))
+	fetch := min(a.server.Service.Config.Limits.MaxRecords, max(prefetchCount, request.smallMax, request.mediumSent))
 	a.start(operation, func(done func(gateway.Outcome)) (gateway.Cancel, *gateway.Outcome) {
 		return a.server.Service.Search(a.caller(), request.databases, tree, fetch, done)
 	}, func(outcome gateway.Outcome) {
-		delete(a.sets, request.setName)
+		delete(a.resultSets, request.setName)
 		if outcome.Kind != gateway.Complete && outcome.Kind != gateway.Partial {
 			a.fail(operation, diagnosticOf(outcome))
 			return
@@ -86,7 +86,7 @@
 			records:   outcome.Records,
 			fetched:   fetch,
 		}
-		a.sets[request.setName] = set
+		a.resultSets[request.setName] = set
 		if outcome.Kind == gateway.Partial {
 			a.sendPartialSearch(operation, outcome)
 			return
@@ -95,30 +95,30 @@
 	})
 }
 
-// checkSearch returns the diagnostic of a request that is not allowed, nil if it is.
+// checkSearch returns the diagnostic for a request that is not allowed, nil if it is allowed.
 func (a *association) checkSearch(request *searchRequest) *diagnostic {
-	exists := a.sets[request.setName] != nil
+	exists := a.resultSets[request.setName] != nil
 	switch {
 	case request.setName == "":
 		return &diagnostic{code: diagIllegalResultSetName}
 	case exists && !request.replace:
 		return &diagnostic{diagResultSetExists, request.setName}
-	case !exists && len(a.sets) >= a.server.Service.Config.Limits.ResultSets:
-		return &diagnostic{diagTooManyResultSets, strconv.Itoa(len(a.sets))}
+	case !exists && len(a.resultSets) >= a.server.Service.Config.Limits.ResultSets:
+		return &diagnostic{diagTooManyResultSets, strconv.Itoa(len(a.resultSets))}
 	case len(request.databases) > maxDatabases:
 		return &diagnostic{diagTooManyDatabases, strconv.Itoa(maxDatabases)}
 	}
 	return nil
 }
 
-// parseQuery reads a query and puts the queries of the result sets that it names in their places.
+// parseQuery parses a type-1 query and replaces each result set that it references with the query of that set.
 func (a *association) parseQuery(rpn *z3950.Node) (query.Node, error) {
 	tree, err := z3950.ParseRPN(rpn)
 	if err != nil {
 		return nil, err
 	}
 	tree, err = query.ResolveResultSets(tree, func(name string) (query.Node, error) {
-		if set := a.sets[name]; set != nil {
+		if set := a.resultSets[name]; set != nil {
 			return set.query, nil
 		}
 		return nil, &query.Error{SRU: 51, Bib1: diagNoSuchResultSet, Details: name}
@@ -126,14 +126,16 @@
 	if err != nil {
 		return nil, err
 	}
-	// Checked again: a query of result sets that were made of result sets grows without bound.
+	// Checked again after the replacement: a chain of searches, each on the previous one's result set, could otherwise
+	// grow a query without bound.
 	return tree, query.CheckLimits(tree)
 }
 
-// sendPartialSearch responds to a search whose results are a valid subset. Its result set may be used; no records are sent.
+// sendPartialSearch responds to a search whose results are a valid subset. The result set is usable, but the response
+// includes no records.
 func (a *association) sendPartialSearch(operation *operation, outcome gateway.Outcome) {
 	a.send(z3950.Constructed(z3950.SearchResponse,
-		operation.reference,
+		operation.referenceID,
 		z3950.Integer(z3950.FieldResultCount, outcome.Count),
 		z3950.Integer(z3950.FieldRecordsReturned, 0),
 		z3950.Integer(z3950.FieldNextPosition, 1),
@@ -155,7 +157,7 @@
 			z3950.Diagnostic(z3950.FieldDiagnostic, diagSyntaxNotSupported, request.syntax),
 		}
 	default:
-		list := a.fitting(set.page(1, requested))
+		list := a.limitToMessageSize(set.page(1, requested))
 		sent = len(list)
 		records = []*z3950.Node{
 			z3950.Integer(z3950.FieldPresentStatus, presentStatus(sent, requested)),
@@ -167,7 +169,7 @@
 		next = nextPositionNone
 	}
 	fields := []*z3950.Node{
-		operation.reference,
+		operation.referenceID,
 		z3950.Integer(z3950.FieldResultCount, set.count),
 		z3950.Integer(z3950.FieldRecordsReturned, sent),
 		z3950.Integer(z3950.FieldNextPosition, next),
--- a/internal/frontend/z3950/server.go
+++ b/internal/frontend/z3950/server.go
@@ -1,5 +1,5 @@
 // Package z3950 is the Z39.50 frontend: a target (server) that serves searches, presents, deletions of result sets and
-// database updates from a gateway. A protocol data unit is called a unit here.
+// database updates on the databases of a gateway.
 package z3950
 
 import (
@@ -13,11 +13,11 @@
 	"rooktrestle/internal/protocol/z3950"
 )
 
-// Times holds the timeouts of associations.
+// Times contains the timeouts of associations.
 type Times struct {
-	Init   time.Duration // from the start of the connection until Init; 0: as Idle
-	Idle   time.Duration // without activity; 0: not limited
-	Recent time.Duration // an association whose result sets were used within it is not evicted
+	Init   time.Duration // from connection start to Init; 0: same as Idle
+	Idle   time.Duration // without activity; 0: unlimited
+	Recent time.Duration // after use of its result sets, an association is not evicted for this long
 }
 
 // Server is the Z39.50 target. All methods may be called from any goroutine.
@@ -27,7 +27,7 @@
 	times Times
 	now   func() time.Time
 
-	mu        sync.Mutex // guards what follows; taken after an association's lock, never before it
+	mu        sync.Mutex // guards the fields below; lock order: an association's mu before this one
 	open      map[*association]bool
 	evictable *eviction.Registry[*association]
 	count     Counters
@@ -44,13 +44,13 @@
 	}
 }
 
-// Counters counts associations and units since the start. GET /counters prints it with its field names, which therefore
-// stay as they are.
+// Counters counts associations and PDUs since the start. GET /counters prints it with its field names, which are
+// therefore part of the operators' interface.
 type Counters struct {
-	Associations uint64 // that were opened
-	Units        uint64 // that were decoded
-	Bad          uint64 // units that could not be decoded or are not served
-	Spared       uint64 // associations that were evicted
+	Associations uint64 // opened
+	Units        uint64 // PDUs decoded
+	Bad          uint64 // PDUs that could not be decoded or are not supported
+	Spared       uint64 // associations evicted
 }
 
 // Conn is the connection of an association. Its methods don't block on the network.
@@ -61,24 +61,24 @@
 	PeerClosed() bool
 }
 
-// Accept returns the handler of a new connection.
+// Accept returns the handler for a new TCP connection.
 func (s *Server) Accept(conn *tcp.Conn) tcp.Handler { return s.Attach(conn) }
 
-// Attach returns the handler of a new connection. The association owns the connection and closes it.
+// Attach returns the handler for a new connection: an association that owns the connection and closes it.
 func (s *Server) Attach(conn Conn) tcp.Handler {
-	a := &association{server: s, conn: conn, sets: map[string]*resultSet{}, messageSize: z3950.MaxPDU}
+	a := &association{server: s, conn: conn, resultSets: map[string]*resultSet{}, messageSize: z3950.MaxPDU}
 	s.mu.Lock()
 	s.open[a] = true
 	s.evictable.Set(a, eviction.Unused, s.now())
 	s.count.Associations++
 	s.mu.Unlock()
 	a.mu.Lock()
-	a.setTimer(cmp.Or(s.times.Init, s.times.Idle))
+	a.setIdleTimer(cmp.Or(s.times.Init, s.times.Idle))
 	a.mu.Unlock()
 	return a
 }
 
-// Shutdown closes each association once its operation in flight is finished. It does not wait for them.
+// Shutdown closes each association as soon as it has no operation in flight. It returns without waiting for them.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	var associations []*association
@@ -105,15 +105,15 @@
 	return s.count
 }
 
-// increment adds one to one of the server's counters.
+// increment adds one to a counter in count.
 func (s *Server) increment(counter *uint64) {
 	s.mu.Lock()
 	*counter++
 	s.mu.Unlock()
 }
 
-// forget drops a closed association.
-func (s *Server) forget(a *association) {
+// remove removes a closed association from the server's state.
+func (s *Server) remove(a *association) {
 	s.mu.Lock()
 	delete(s.open, a)
 	s.evictable.Remove(a)
--- a/internal/frontend/z3950/update.go
+++ b/internal/frontend/z3950/update.go
@@ -5,10 +5,10 @@
 	"rooktrestle/internal/protocol/z3950"
 )
 
-// update handles an extended services request, which has to be a database update of one record.
-func (a *association) update(unit *z3950.Node) {
-	operation := newOperation(unit)
-	request, problem := z3950.ParseUpdate(unit)
+// update handles an extended services request. Only a database update of one record is supported.
+func (a *association) update(pdu *z3950.Node) {
+	operation := newOperation(pdu)
+	request, problem := z3950.ParseUpdate(pdu)
 	if problem != nil {
 		a.fail(operation, diagnostic{problem.Bib1, problem.Details})
 		return
@@ -21,7 +21,7 @@
 			return
 		}
 		a.send(z3950.Constructed(z3950.EsResponse,
-			operation.reference,
+			operation.referenceID,
 			z3950.Integer(z3950.FieldEsOperationStatus, operationStatusDone)))
 	})
 }
