--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin encodes and decodes the operators' protocol: one call a connection, on one line, and one answer.
+// Package admin encodes and decodes the operators' protocol. A connection carries one command, on one line, and one
+// response.
 package admin
 
 import (
@@ -7,28 +8,28 @@
 	"strings"
 )
 
-// MaxLine is the length of the longest call, in bytes, with its line end.
+// MaxLine is the maximum length of a command line in bytes, including its line end.
 const MaxLine = 512
 
-// Verb is what a call asks for.
+// Verb is the first word of a command line.
 type Verb string
 
-// The verbs.
+// Verbs.
 const (
-	Ping   Verb = "PING"   // whether the process can serve
-	Info   Verb = "INFO"   // its figures
+	Ping   Verb = "PING"   // report whether the process can serve
+	Info   Verb = "INFO"   // report its counters
 	Detach Verb = "DETACH" // take a server out of service
-	Attach Verb = "ATTACH" // put it back
+	Attach Verb = "ATTACH" // put a server back into service
 )
 
-// The first words of answers, and the last line of the figures.
+// First words of responses, and the last line of the response to Info.
 const (
 	done    = "done"
 	failure = "error"
 	end     = "end"
 )
 
-// Errors of a call.
+// Errors of Parse. Their texts are sent to operators.
 var (
 	ErrNoCommand      = errors.New("no call")
 	ErrUnknownCommand = errors.New("unknown call")
@@ -36,13 +37,13 @@
 	ErrNoServer       = errors.New("no server id")
 )
 
-// Command is a call. Server is set for Detach and Attach only.
+// Command is a decoded command line. Server is set for Detach and Attach only.
 type Command struct {
 	Verb   Verb
 	Server string
 }
 
-// Parse decodes a call's line, with or without its end.
+// Parse decodes a command line, with or without its line end.
 func Parse(line string) (Command, error) {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
@@ -69,21 +70,21 @@
 	return command, nil
 }
 
-// Done is the answer to a call that was carried out.
+// Done returns the response to a command that succeeded.
 func Done() string { return done + "\n" }
 
-// Failure is the answer to a call that was not. The reason stands on the same line.
+// Failure returns the response to a command that was rejected or failed, on one line with the reason.
 func Failure(reason error) string {
 	return failure + " " + strings.Join(strings.Fields(reason.Error()), " ") + "\n"
 }
 
-// Figure is one figure of the answer to Info.
+// Figure is one counter or gauge in the response to Info.
 type Figure struct {
 	Name  string
 	Value uint64
 }
 
-// Figures is the answer to Info.
+// Figures returns the response to Info.
 func Figures(figures []Figure) string {
 	var text strings.Builder
 	for _, figure := range figures {
--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/admin/admin_test.go
@@ -43,21 +43,21 @@
 	}
 }
 
-// Whatever a line holds, it is one of the calls or an error on one line.
+// FuzzParse checks that every line is parsed to a valid command or leads to a one-line error response.
 func FuzzParse(f *testing.F) {
 	f.Add("DETACH s-1")
 	f.Add("\x00 \n INFO")
 	f.Fuzz(func(t *testing.T, line string) {
 		command, err := Parse(line)
 		if err != nil {
-			answer := Failure(err)
-			if command != (Command{}) || strings.Count(answer, "\n") != 1 || !strings.HasPrefix(answer, "error ") {
-				t.Errorf("%q: %+v, %q", line, command, answer)
+			response := Failure(err)
+			if command != (Command{}) || strings.Count(response, "\n") != 1 || !strings.HasPrefix(response, "error ") {
+				t.Errorf("%q: %+v, %q", line, command, response)
 			}
 			return
 		}
-		named := command.Verb == Detach || command.Verb == Attach
-		if named != (command.Server != "") || strings.ContainsAny(command.Server, " \n") {
+		needsServer := command.Verb == Detach || command.Verb == Attach
+		if needsServer != (command.Server != "") || strings.ContainsAny(command.Server, " \n") {
 			t.Errorf("%q: %+v", line, command)
 		}
 	})
--- a/internal/protocol/agentcheck/agentcheck.go
+++ b/internal/protocol/agentcheck/agentcheck.go
@@ -1,11 +1,12 @@
-// Package agentcheck parses and prints the line that HAProxy's agent-check reads over TCP, after the description of
+// Package agentcheck parses and formats the line that HAProxy's agent-check reads over TCP, as described under
 // agent-check in HAProxy's public configuration manual. It does no I/O.
 //
-// The line ends with the first CR or LF, or with the connection. Its words are separated by spaces, tabs or commas, in any
-// order and in any case: a percentage, from 0%, sets the weight; maxconn:N the limit of connections; ready, drain and
-// maint the administrative state; up, down, failed and stopped the operational state. What the line does not name stays
-// as it was. A description for people follows a #. Of two words that set the same, the later one counts. An unknown word
-// beside known ones is ignored, but reported so that it can be logged.
+// The line ends at the first CR or LF, or at the end of the connection. Its words are case-insensitive, in any order,
+// and separated by spaces, tabs or commas: a percentage, from 0%, sets the weight; maxconn:N sets the connection limit;
+// ready, drain and maint set the administrative state; up, down, failed and stopped set the operational state. Settings
+// that the line does not mention are unchanged. Text after a # is a description for operators. If two words set the
+// same thing, the later one applies. Unknown words next to known ones are ignored, but reported so that they can be
+// logged.
 package agentcheck
 
 import (
@@ -15,13 +16,13 @@
 	"strings"
 )
 
-// MaxLine is the longest line that is parsed or printed, in bytes.
+// MaxLine is the maximum length in bytes of a line that Reader accepts or Report.Line returns.
 const MaxLine = 4 << 10
 
-// maxWeight is the highest weight, as a fraction of the configured one: HAProxy's weights end at 256.
+// maxWeight is the maximum weight, as a fraction of the configured one: HAProxy's weights end at 256.
 const maxWeight = 2.56
 
-// Admin is an administrative state; empty: not named.
+// Admin is an administrative state; empty: not given.
 type Admin string
 
 // Administrative states.
@@ -31,7 +32,7 @@
 	Maint Admin = "maint" // in maintenance
 )
 
-// State is an operational state; empty: not named.
+// State is an operational state; empty: not given.
 type State string
 
 // Operational states.
@@ -42,26 +43,26 @@
 	Stopped State = "stopped"
 )
 
-// IsUp returns whether a server in the state serves.
+// IsUp reports whether a server in this state can serve requests.
 func (s State) IsUp() bool { return s == Up }
 
-// Report is what an agent reports in a line.
+// Report contains the settings that an agent's line gives.
 type Report struct {
 	Admin       Admin
 	State       State
-	Weight      float64  // fraction of the configured weight, 0 to 2.56; negative: not named
-	MaxConn     int      // limit of connections; negative: not named
-	Description string   // for people: what follows the #
+	Weight      float64  // fraction of the configured weight, 0 to 2.56; negative: not given
+	MaxConn     int      // connection limit; negative: not given
+	Description string   // text after the #, for operators
 	Unknown     []string // unknown words
 }
 
-// ErrEmptyReport is the error of a line without a word. Its text is shown to operators.
+// ErrEmptyReport is the error for a line without words. Its text is shown to operators.
 var ErrEmptyReport = errors.New("agent: it says nothing")
 
 const maxConnPrefix = "maxconn:"
 
-// Parse parses a line; what follows its end is ignored. The error is ErrEmptyReport if the line has no word, and another
-// one if none of its words is known.
+// Parse parses a line and ignores any text after its line end. The error is ErrEmptyReport if the line has no words,
+// and another one if all of its words are unknown.
 func Parse(line string) (Report, error) {
 	report := Report{Weight: -1, MaxConn: -1}
 	if end := strings.IndexAny(line, "\r\n"); end >= 0 {
@@ -86,7 +87,8 @@
 
 func isSeparator(c rune) bool { return c == ' ' || c == '\t' || c == ',' }
 
-// dropControl maps control characters to none, so that a peer's text can be printed in one line.
+// dropControl is a strings.Map function that removes control characters, so that a peer's text can be logged on one
+// line.
 func dropControl(c rune) rune {
 	if c < ' ' || c == 0x7f {
 		return -1
@@ -94,7 +96,7 @@
 	return c
 }
 
-// set takes one word in lower case, and returns whether it is known.
+// set applies one word, which is in lower case, and returns whether it is known.
 func (r *Report) set(word string) bool {
 	switch word {
 	case string(Ready), string(Drain), string(Maint):
@@ -121,7 +123,7 @@
 	return false
 }
 
-// parseDigits parses a number that consists of at most nine digits: no sign, no space, no exponent.
+// parseDigits parses a number of one to nine digits, without a sign, spaces or an exponent.
 func parseDigits(text string) (number int, ok bool) {
 	const maxDigits = 9
 	if text == "" || len(text) > maxDigits {
@@ -136,8 +138,8 @@
 	return number, err == nil
 }
 
-// Line prints the report as a line with its LF, which Parse parses back, all but the unknown words. A description that is
-// too long is cut.
+// Line formats the report as a line with its LF. Parse restores the report from it, except for the unknown words. A
+// line over MaxLine is truncated in its description.
 func (r Report) Line() string {
 	var words []string
 	if r.State != "" {
@@ -166,10 +168,10 @@
 // Reader parses the first line of a stream. The zero value is ready for use.
 type Reader struct{ line []byte }
 
-// Feed adds bytes of the stream. Once done is true, the line has ended or is too long, and the other results are those of
-// Parse; before, they mean nothing.
+// Feed adds bytes of the stream. done is true once the line is complete or too long. The other results are those of
+// Parse, or an error for a line over MaxLine; they are valid only if done is true.
 //
-//nolint:revive // done comes last, as ok does: it says whether the others count
+//nolint:revive // done is last, as ok would be: it tells whether the other results are valid
 func (r *Reader) Feed(b []byte) (report Report, err error, done bool) {
 	r.line = append(r.line, b[:min(len(b), MaxLine+1)]...)
 	if end := strings.IndexAny(string(r.line), "\r\n"); end >= 0 && end <= MaxLine {
@@ -182,5 +184,5 @@
 	return report, nil, false
 }
 
-// End ends the stream, which ends the line, and returns the results of Parse.
+// End ends the line at the end of the stream and returns the results of Parse.
 func (r *Reader) End() (Report, error) { return Parse(string(r.line)) }
--- a/internal/protocol/agentcheck/agentcheck_test.go
+++ b/internal/protocol/agentcheck/agentcheck_test.go
@@ -26,14 +26,14 @@
 		{name: "drain", line: "drain", want: Report{Admin: Drain, Weight: -1, MaxConn: -1}},
 		{name: "maintenance", line: "MAINT", want: Report{Admin: Maint, Weight: -1, MaxConn: -1}},
 		{
-			name: "nothing is read from the description",
+			name: "words in the description are not parsed",
 			line: "stopped #going home, 5%",
 			want: Report{State: Stopped, Weight: -1, MaxConn: -1, Description: "going home, 5%"},
 		},
 		{name: "failed", line: "failed", want: Report{State: Failed, Weight: -1, MaxConn: -1}},
-		{name: "a weight of zero is named", line: "0%", want: Report{Weight: 0, MaxConn: -1}},
+		{name: "a weight of zero is set", line: "0%", want: Report{Weight: 0, MaxConn: -1}},
 		{name: "the weight is limited", line: "9999%", want: Report{Weight: 2.56, MaxConn: -1}},
-		{name: "the later state counts", line: "down up", want: Report{State: Up, Weight: -1, MaxConn: -1}},
+		{name: "the later state applies", line: "down up", want: Report{State: Up, Weight: -1, MaxConn: -1}},
 		{
 			name: "unknown words are reported",
 			line: "up sideways -1%",
@@ -67,15 +67,15 @@
 	var r Reader
 	for _, b := range []byte("up 5") {
 		if _, _, done := r.Feed([]byte{b}); done {
-			t.Fatal("done before the line's end")
+			t.Fatal("done before the end of the line")
 		}
 	}
 	if report, err, done := r.Feed([]byte("0%\nmore")); !done || err != nil || report.Weight != 0.5 {
-		t.Errorf("at the line's end: %+v, %v, done %v", report, err, done)
+		t.Errorf("at the end of the line: %+v, %v, done %v", report, err, done)
 	}
 	r = Reader{}
 	if _, err, done := r.Feed(make([]byte, 1<<20)); !done || err == nil || len(r.line) > MaxLine+1 {
-		t.Errorf("a line that is too long: %v, done %v, %d bytes are held", err, done, len(r.line))
+		t.Errorf("a line that is too long: %v, done %v, %d bytes buffered", err, done, len(r.line))
 	}
 	r = Reader{}
 	if _, _, done := r.Feed([]byte("drain")); done {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A printed report parses back as it was, and is one line, whatever it was parsed from.
+// FuzzLine checks that a formatted report is one line and parses back to the same report.
 func FuzzLine(f *testing.F) {
 	f.Add("up ready 50% maxconn:3 #why")
 	f.Add("down\r\n#x")
@@ -102,11 +102,11 @@
 			t.Fatalf("%q is not one line within the limit", out)
 		}
 		if len(out) == MaxLine {
-			return // its description was cut
+			return // its description was truncated
 		}
 		back, err := Parse(out)
 		if err != nil || !reflect.DeepEqual(back, r) {
-			t.Fatalf("%q: %+v came back as %+v, %v", line, r, back, err)
+			t.Fatalf("%q: %+v formatted and parsed: %+v, %v", line, r, back, err)
 		}
 	})
 }
