--- a/internal/protocol/admin/admin.go
+++ b/internal/protocol/admin/admin.go
@@ -17,7 +17,7 @@
 // Verbs.
 const (
 	Ping   Verb = "PING"   // report whether the process can serve
-	Info   Verb = "INFO"   // report its counters
+	Info   Verb = "INFO"   // report the values of the process's metrics
 	Detach Verb = "DETACH" // take a server out of service
 	Attach Verb = "ATTACH" // put a server back into service
 )
@@ -78,7 +78,7 @@
 	return failure + " " + strings.Join(strings.Fields(reason.Error()), " ") + "\n"
 }
 
-// Figure is one counter or gauge in the response to Info.
+// Figure is one named value in the response to Info.
 type Figure struct {
 	Name  string
 	Value uint64
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// parseAll feeds a text in pieces that end at cuts. It returns the messages, and the status of the error; 0: none.
+// parseAll feeds text in pieces that end at the cuts. It returns the messages and the status of the error; 0: no error.
 func parseAll(text string, cuts ...int) (messages []Message, status int) {
 	var parser Parser
 	from := 0
@@ -76,20 +76,21 @@
 	}
 }
 
-// A stream gives the same messages and the same error in whatever pieces it comes, and a printed request parses back.
+// FuzzParser checks that the messages and the error don't depend on how the stream is split, and that a formatted
+// request parses back to the same request.
 func FuzzParser(f *testing.F) {
 	f.Add("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /x HTTP/1.1\r\n\r\n", 20, 41)
 	f.Add("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 47, 50)
 	f.Add("GET / HTTP/1.1\r\nA: b\r\nnonsense\r\n\r\n", 3, 18)
 	f.Fuzz(func(t *testing.T, text string, a, b int) {
-		whole, status := parseAll(text)
-		if cut, s := parseAll(text, a, b); s != status || !reflect.DeepEqual(cut, whole) {
-			t.Fatalf("at once: %d %+v; in pieces: %d %+v", status, whole, s, cut)
+		complete, status := parseAll(text)
+		if cut, s := parseAll(text, a, b); s != status || !reflect.DeepEqual(cut, complete) {
+			t.Fatalf("at once: %d %+v; in pieces: %d %+v", status, complete, s, cut)
 		}
-		for _, m := range whole {
+		for _, m := range complete {
 			again, _ := parseAll(string(Request(m.Method, m.Target, "h", m.Body)))
 			if len(again) != 1 || again[0].Target != m.Target || string(again[0].Body) != string(m.Body) {
-				t.Fatalf("%+v came back as %+v", m, again)
+				t.Fatalf("%+v formatted and parsed: %+v", m, again)
 			}
 		}
 	})
--- a/internal/protocol/http1/message.go
+++ b/internal/protocol/http1/message.go
@@ -1,4 +1,4 @@
-// Package http1 parses and prints HTTP/1.1 messages. It does no I/O: bytes go in, messages come out.
+// Package http1 parses and formats HTTP/1.1 messages. It does no I/O.
 package http1
 
 import (
@@ -7,39 +7,40 @@
 	"strings"
 )
 
-// Limits of what is parsed.
+// Limits of the parser.
 const (
-	MaxHead   = 16 << 10 // bytes of a start line and its fields
-	MaxFields = 100
-	MaxBody   = 64 << 10 // bytes; a Parser may have another limit
+	MaxHead   = 16 << 10 // bytes of the start line and the header fields
+	MaxFields = 100      // header fields of a message
+	MaxBody   = 64 << 10 // bytes; default of Parser.MaxBody
 )
 
-// Error says why a message is rejected. What follows the message in its stream cannot be parsed.
+// Error is the reason why a message is rejected. The remainder of its stream cannot be parsed.
 type Error struct {
-	Status int // of the response to it
+	Status int // HTTP status of the response to the message
 	Reason string
 }
 
-// Error returns the status and the reason.
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-// StatusError is the error of a response whose status is not one that the caller asked for.
+// StatusError is the error for a response with an unexpected status.
 type StatusError int
 
-// Error returns the status.
+// Error implements error.
 func (e StatusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
+// reject returns the Error for a message that is rejected with a status.
 func reject(status int, format string, args ...any) *Error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Header holds fields by their names in lower case. The values of a field that came more than once are joined by commas.
+// Header contains header fields, keyed by lower-case name. The values of a repeated field are joined by commas.
 type Header map[string]string
 
-// Get returns a field's value, empty if it is absent. The name may be in any case.
+// Get returns a field's value, empty if the field is absent. The name is case-insensitive.
 func (h Header) Get(name string) string { return h[strings.ToLower(name)] }
 
-// hasToken returns whether a token is in the list that is a field's value. The name is in lower case.
+// hasToken reports whether a field's value, a comma-separated list, contains a token. The name must be in lower case.
 func (h Header) hasToken(name, token string) bool {
 	for _, element := range strings.Split(h[name], ",") {
 		if strings.EqualFold(strings.TrimSpace(element), token) {
@@ -55,10 +56,10 @@
 	Status         int    // of a response
 	Header         Header
 	Body           []byte
-	Close          bool // the sender closes the connection after it, or wants it closed
+	Close          bool // the connection is to be closed after the message
 }
 
-// parseStartLine parses the first line, and returns whether the sender speaks HTTP/1.0.
+// parseStartLine parses the request line or the status line, and returns whether the version is HTTP/1.0.
 func (m *Message) parseStartLine(line string, response bool) (http10 bool, err error) {
 	var version string
 	if response {
@@ -103,7 +104,7 @@
 	return parts[2], nil
 }
 
-// parseFields parses the lines behind the first one.
+// parseFields parses the header field lines, which follow the start line.
 func (m *Message) parseFields(lines []string) error {
 	if len(lines) > MaxFields {
 		return reject(431, "over %d fields", MaxFields)
@@ -125,13 +126,13 @@
 	return nil
 }
 
-// truncate shortens a peer's text for an error.
+// truncate shortens a peer's text for an error message.
 func truncate(s string) string {
 	const maxLength = 60
 	return s[:min(len(s), maxLength)]
 }
 
-// isToken returns whether s is a token of RFC 9110, as the names of methods and fields are.
+// isToken reports whether s is a token by RFC 9110, as method and field names must be.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/internal/protocol/http1/parser.go
+++ b/internal/protocol/http1/parser.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxChunkLine is the longest line between chunks, and the longest field of a trailer, in bytes.
+// maxChunkLine is the maximum length in bytes of a line between chunks and of a trailer field.
 const maxChunkLine = 1024
 
-// stage is the part of a message that comes next.
+// stage is the part of a message that is parsed next.
 type stage int
 
 const (
@@ -19,11 +19,11 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	untilClose // a body that lasts until the end of the stream
-	broken     // nothing can be parsed any more
+	untilClose // a body that extends to the end of the stream
+	broken     // the remainder of the stream cannot be parsed
 )
 
-// progress is the result of a step of the parser.
+// progress is the result of one parsing step.
 type progress int
 
 const (
@@ -32,34 +32,35 @@
 	completed          // the message is complete
 )
 
-// Parser parses a stream of messages, in whatever pieces its bytes come. The zero value parses requests. It is not safe
-// for concurrent use.
+// Parser is an incremental parser of a stream of messages. The zero value parses requests. It is not safe for
+// concurrent use.
 type Parser struct {
 	Responses bool // the messages are responses, not requests
 
 	// Head, if set, is called with each message as soon as its header is complete.
 	Head func(*Message)
 
-	// Stream, if set, is called with the bytes of bodies as they come; Message.Body stays empty. It must not retain them.
+	// Stream, if set, is called with body bytes as they are parsed, and Message.Body stays empty. It must not retain
+	// the slice. Its error breaks the stream.
 	Stream func([]byte) error
 
-	// MaxBody is the limit of a body in bytes, if Stream is not set; 0: the package's MaxBody.
+	// MaxBody is the maximum length of a body in bytes if Stream is not set; 0: the package's MaxBody.
 	MaxBody int
 
 	buf       []byte
 	stage     stage
-	message   *Message // the one in progress; nil in its head
-	remaining int      // bytes of the body or the chunk
-	err       error    // the stream is broken
+	message   *Message // the message in progress; nil until its head is parsed
+	remaining int      // unparsed bytes of the body or the chunk
+	err       error    // why the stream is broken; nil: it is not
 }
 
-// Buffered returns the number of bytes that were fed and are not parsed yet.
+// Buffered returns the number of bytes that were fed but not parsed yet.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Begun returns whether a message has begun and is not complete.
+// Begun reports whether a message was received in part.
 func (p *Parser) Begun() bool { return p.stage != inHead || len(p.buf) > 0 }
 
-// ExpectsContinue returns whether the sender of the message in progress waits for 100 Continue.
+// ExpectsContinue reports whether the sender of the message in progress expects 100 Continue before it sends the body.
 func (p *Parser) ExpectsContinue() bool {
 	if p.stage == inHead || p.stage == broken || p.message == nil {
 		return false
@@ -67,11 +68,11 @@
 	return p.message.Header.hasToken("expect", "100-continue")
 }
 
-// Feed adds bytes to the stream. They are copied.
+// Feed appends bytes to the stream. They are copied.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Next returns the next complete message, nil if more bytes are needed. The message is the caller's. The error is an
-// *Error, or that of Stream; all further calls return it, too.
+// Next returns the next complete message, nil if more bytes are needed. The caller owns the message. The error is an
+// *Error or the error of Stream; all further calls return the same error.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -96,7 +97,8 @@
 	}
 }
 
-// End ends the stream. It returns the response whose body lasted until then, nil if there is none.
+// End handles the end of the stream. It returns the response whose body extends to the end of the stream, nil if there
+// is none.
 func (p *Parser) End() *Message {
 	if p.stage != untilClose || p.err != nil {
 		return nil
@@ -115,7 +117,7 @@
 	case inBody, inChunk, untilClose:
 		return p.parseBody()
 	}
-	line, ok, err := p.takeLine()
+	line, ok, err := p.readLine()
 	if err != nil || !ok {
 		return needBytes, err
 	}
@@ -137,7 +139,7 @@
 	return advanced, nil
 }
 
-// parseBody takes what has come of a body or of a chunk.
+// parseBody parses the buffered bytes of a body or of a chunk.
 func (p *Parser) parseBody() (progress, error) {
 	n := len(p.buf)
 	if p.stage != untilClose {
@@ -160,7 +162,7 @@
 	return advanced, nil
 }
 
-// startChunk parses the line with the size of a chunk. A chunk of size zero is the last one.
+// startChunk parses a chunk-size line. Size zero marks the last chunk.
 func (p *Parser) startChunk(line string) error {
 	size, _, _ := strings.Cut(line, ";")
 	size = strings.TrimSpace(size)
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// discard drops parsed bytes, and the buffer if it is empty.
+// discard removes parsed bytes from the buffer, and releases the buffer if it is empty.
 func (p *Parser) discard(n int) {
 	p.buf = p.buf[n:]
 	if len(p.buf) == 0 {
@@ -185,7 +187,7 @@
 	}
 }
 
-// deliver passes bytes of a body on.
+// deliver passes body bytes to Stream or appends them to the message.
 func (p *Parser) deliver(b []byte) error {
 	if p.Stream != nil {
 		return p.Stream(b)
@@ -204,8 +206,8 @@
 	return MaxBody
 }
 
-// takeLine takes a line between chunks or in a trailer; ok is false if it is not complete.
-func (p *Parser) takeLine() (line string, ok bool, err error) {
+// readLine reads a line between chunks or in a trailer; ok is false if it is not complete.
+func (p *Parser) readLine() (line string, ok bool, err error) {
 	end := bytes.IndexByte(p.buf, '\n')
 	if end < 0 && len(p.buf) > maxChunkLine || end > maxChunkLine {
 		return "", false, reject(400, "line over %d bytes between chunks", maxChunkLine)
@@ -218,9 +220,9 @@
 	return line, true, nil
 }
 
-// takeHead takes the lines of a message's head, nil if they are not complete.
-func (p *Parser) takeHead() ([]string, error) {
-	for len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') { // empty lines before a message are allowed
+// readHead reads the lines of a message's head, nil if they are not complete.
+func (p *Parser) readHead() ([]string, error) {
+	for len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') { // empty lines before a message are ignored
 		p.discard(1)
 	}
 	const headEnd = "\r\n\r\n"
@@ -236,9 +238,9 @@
 	return lines, nil
 }
 
-// parseHead parses the start line and the fields, once they are complete.
+// parseHead parses the start line and the header fields once they are complete.
 func (p *Parser) parseHead() (progress, error) {
-	lines, err := p.takeHead()
+	lines, err := p.readHead()
 	if err != nil || lines == nil {
 		return needBytes, err
 	}
@@ -250,7 +252,7 @@
 	if err := message.parseFields(lines[1:]); err != nil {
 		return needBytes, err
 	}
-	if http10 { // the connection ends with the message, unless the peer asks for it to be kept
+	if http10 { // the connection is closed after the message, unless the peer requests keep-alive
 		message.Close = !message.Header.hasToken("connection", "keep-alive")
 	}
 	if message.Header.hasToken("connection", "close") {
@@ -269,8 +271,8 @@
 	return advanced, nil
 }
 
-// startBody determines how the length of the body is given. A message that gives it twice is rejected: another parser on
-// the way may take the other one, and what follows for another request (request smuggling).
+// startBody determines how the body is delimited. A message with both Content-Length and Transfer-Encoding is rejected:
+// an intermediary might apply the other one and treat a part of the body as a separate request (request smuggling).
 func (p *Parser) startBody(message *Message) error {
 	length, hasLength := message.Header["content-length"]
 	coding, hasCoding := message.Header["transfer-encoding"]
@@ -301,7 +303,7 @@
 	return nil
 }
 
-// statusAllowsBody returns whether a response with a status may have a body (RFC 9112, section 6.3).
+// statusAllowsBody reports whether a response with a status may have a body (RFC 9112, section 6.3).
 func statusAllowsBody(status int) bool {
 	return status >= 200 && status != 204 && status != 304
 }
--- a/internal/protocol/httpcheck/httpcheck.go
+++ b/internal/protocol/httpcheck/httpcheck.go
@@ -1,6 +1,6 @@
-// Package httpcheck evaluates HTTP health checks as common load balancers do: by the status and the body of the response,
-// by statuses that mean draining, and by the headers in which Envoy's active health checks are told of a degraded server
-// and of an immediate failure, after Envoy's public documentation.
+// Package httpcheck evaluates HTTP health checks as common load balancers do: by the status and the body of the
+// response, by statuses that mean draining, and by the headers that report a degraded server or an immediate failure to
+// Envoy's active health checks, as described in Envoy's public documentation.
 package httpcheck
 
 import (
@@ -10,28 +10,28 @@
 	"strings"
 )
 
-// Headers of a response that say more than its status.
+// Headers of a response that report more than its status.
 const (
 	DegradedHeader  = "X-Envoy-Degraded"
 	ImmediateHeader = "X-Envoy-Immediate-Health-Check-Fail"
 )
 
-// Lowest and highest status.
+// Bounds of valid statuses.
 const (
 	minStatus = 100
 	maxStatus = 599
 )
 
-// Range is a range of statuses, both ends included.
+// Range is an inclusive range of statuses.
 type Range struct{ From, To int }
 
-// ParseRanges parses a list of statuses and ranges, such as "200-299,304".
+// ParseRanges parses a comma-separated list of statuses and ranges, such as "200-299,304".
 func ParseRanges(text string) ([]Range, error) {
 	var ranges []Range
 	for _, element := range strings.Split(text, ",") {
 		r, err := parseRange(strings.TrimSpace(element))
 		if err != nil || r.From < minStatus || r.To > maxStatus || r.From > r.To {
-			return nil, fmt.Errorf("statuses %q: each is %d to %d, or a range of these as 200-299",
+			return nil, fmt.Errorf("status %q: must be %d to %d, or a range such as 200-299",
 				element, minStatus, maxStatus)
 		}
 		ranges = append(ranges, r)
@@ -39,7 +39,7 @@
 	return ranges, nil
 }
 
-// parseRange parses one status or range, whatever its bounds are.
+// parseRange parses one status or range. It does not check the bounds.
 func parseRange(text string) (r Range, err error) {
 	from, to, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -52,7 +52,7 @@
 	return r, err
 }
 
-// String prints the range as ParseRanges parses it.
+// String formats the range in the syntax of ParseRanges.
 func (r Range) String() string {
 	if r.From == r.To {
 		return strconv.Itoa(r.From)
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%d-%d", r.From, r.To)
 }
 
-// In returns whether a status is in one of the ranges.
+// In reports whether a status is in one of the ranges.
 func In(ranges []Range, status int) bool {
 	for _, r := range ranges {
 		if status >= r.From && status <= r.To {
@@ -70,12 +70,12 @@
 	return false
 }
 
-// Expect is what a healthy server responds.
+// Expect describes the response of a healthy server.
 type Expect struct {
 	Status []Range
 	Drain  []Range        // statuses that mean draining, also if they are in Status
-	Body   string         // that the body contains; empty: not checked
-	Match  *regexp.Regexp // that the body matches; nil: not checked
+	Body   string         // text that the body must contain; empty: not checked
+	Match  *regexp.Regexp // expression that the body must match; nil: not checked
 }
 
 // Result is the result of a check.
@@ -83,8 +83,8 @@
 	Healthy   bool
 	Drain     bool // the server is healthy and draining
 	Degraded  bool
-	Immediate bool   // it is unhealthy at once, without the failures in a row that are needed otherwise
-	Reason    string // why it is unhealthy, or draining
+	Immediate bool   // the server is unhealthy at once, without the otherwise required number of consecutive failures
+	Reason    string // why the server is unhealthy or draining
 }
 
 // Judge evaluates a response. header returns the value of a field, empty if it is absent.
@@ -110,7 +110,7 @@
 	return result
 }
 
-// isSet returns whether a header is present and does not say no. Beyond that its value does not matter to Envoy.
+// isSet reports whether a header is present with a value other than "false" or "0". Envoy ignores the value otherwise.
 func isSet(value string) bool {
 	return value != "" && !strings.EqualFold(value, "false") && value != "0"
 }
--- a/internal/protocol/httpcheck/httpcheck_test.go
+++ b/internal/protocol/httpcheck/httpcheck_test.go
@@ -39,12 +39,12 @@
 			want:   Result{Healthy: true, Degraded: true},
 		},
 		{
-			name: "not degraded, as the header says no", status: 200, body: "all fine",
+			name: "not degraded, as the header is false", status: 200, body: "all fine",
 			header: http.Header{DegradedHeader: {"false"}},
 			want:   Result{Healthy: true},
 		},
 		{
-			name: "draining, whatever the body says", status: 404,
+			name: "draining, regardless of the body", status: 404,
 			want: Result{Healthy: true, Drain: true, Reason: "status 404"},
 		},
 		{
@@ -77,7 +77,7 @@
 	}
 }
 
-// Printed ranges parse back as they were, and all are within the statuses.
+// FuzzRanges checks that formatted ranges parse back to the same ranges, and that all bounds are valid statuses.
 func FuzzRanges(f *testing.F) {
 	for _, s := range []string{"200", "200-299,304", "299-200", "", "1e3", "-5", "200-", "99", "600"} {
 		f.Add(s)
@@ -90,7 +90,7 @@
 		for _, r := range list {
 			again, err := ParseRanges(r.String())
 			if err != nil || len(again) != 1 || again[0] != r || r.From < 100 || r.To > 599 || !In(list, r.From) {
-				t.Fatalf("%q: %v came back as %v, %v", text, r, again, err)
+				t.Fatalf("%q: %v formatted and parsed: %v, %v", text, r, again, err)
 			}
 		}
 	})
--- a/internal/protocol/jsonstream/jsonstream.go
+++ b/internal/protocol/jsonstream/jsonstream.go
@@ -1,30 +1,30 @@
-// Package jsonstream splits a stream of bytes into the JSON objects in it, however they are laid out over lines and in
-// whatever pieces the bytes come. It does no I/O.
+// Package jsonstream splits a byte stream into JSON objects, independently of white space and of how the bytes are
+// split into pieces. It does no I/O.
 package jsonstream
 
 import "fmt"
 
-// Framer splits one stream. The zero value takes objects of any size. It is not safe for concurrent use.
+// Framer splits one stream. The zero value accepts objects of any size. It is not safe for concurrent use.
 type Framer struct {
-	MaxBytes int // limit of an object in bytes; 0: not limited
+	MaxBytes int // maximum size of an object in bytes; 0: unlimited
 
-	buf     []byte // received and not returned yet
-	scanned int    // bytes of buf that were looked at
-	depth   int    // brackets that are open after them
-	quoted  bool   // they end within a string
-	escaped bool   // they end with the backslash of an escape
-	err     error  // the stream is broken
+	buf     []byte // received bytes that are not returned yet
+	scanned int    // number of bytes of buf that were scanned
+	depth   int    // nesting depth of brackets after the scanned bytes
+	quoted  bool   // the scanned bytes end within a string
+	escaped bool   // the scanned bytes end with the backslash of an escape
+	err     error  // why the stream is broken; nil: it is not
 }
 
-// Feed adds bytes to the stream. They are copied.
+// Feed appends bytes to the stream. They are copied.
 func (f *Framer) Feed(b []byte) { f.buf = append(f.buf, b...) }
 
-// Inside returns whether an object has begun and is not complete, as far as Next has looked.
+// Inside reports whether the bytes that Next has scanned end within an object.
 func (f *Framer) Inside() bool { return f.depth > 0 }
 
-// Next returns the next complete object, nil if more bytes are needed. The bytes are the caller's. They may not be valid
-// JSON, as only the end of the object is searched for. An error means that something other than an object begins, or that
-// an object is too long; all further calls return it, too.
+// Next returns the next complete object, nil if more bytes are needed. The caller owns the bytes. They may be invalid
+// JSON, as Next only searches for the end of the object. It returns an error if the next value is not an object or is
+// over MaxBytes; all further calls return the same error.
 func (f *Framer) Next() ([]byte, error) {
 	if f.err != nil {
 		return nil, f.err
@@ -37,13 +37,13 @@
 				continue
 			}
 			if c != '{' {
-				return nil, f.fail(fmt.Errorf("%q where an object should begin", c))
+				return nil, f.fail(fmt.Errorf("JSON stream: %q instead of the { of an object", c))
 			}
 		}
 		f.scan(c)
-		// Guards memory against an object that does not end.
+		// Bounds the memory of an object that does not end.
 		if f.MaxBytes > 0 && f.scanned > f.MaxBytes {
-			return nil, f.fail(fmt.Errorf("an object over %d bytes", f.MaxBytes))
+			return nil, f.fail(fmt.Errorf("JSON stream: object over the limit of %d bytes", f.MaxBytes))
 		}
 		if f.depth == 0 {
 			object := f.buf[:f.scanned:f.scanned]
@@ -58,7 +58,7 @@
 	return nil, nil
 }
 
-// scan follows the strings and brackets by one byte of an object.
+// scan updates the string and bracket state by one byte of an object.
 func (f *Framer) scan(char byte) {
 	f.scanned++
 	switch {
@@ -76,10 +76,10 @@
 	}
 }
 
-// isSpace returns whether char is white space of JSON.
+// isSpace reports whether char is JSON white space.
 func isSpace(char byte) bool { return char == ' ' || char == '\t' || char == '\r' || char == '\n' }
 
-// fail breaks the stream and returns the error.
+// fail marks the stream as broken by err and returns err.
 func (f *Framer) fail(err error) error {
 	f.err = err
 	f.buf = nil
--- a/internal/protocol/jsonstream/jsonstream_test.go
+++ b/internal/protocol/jsonstream/jsonstream_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// split feeds a stream in pieces of so many bytes. It returns the objects, and the error that ended the stream.
+// split feeds a stream in pieces of size bytes. It returns the objects and the error that broke the stream.
 func split(f *Framer, stream []byte, size int) (objects []string, err error) {
 	for len(stream) > 0 {
 		n := min(size, len(stream))
@@ -47,14 +47,14 @@
 }
 
 func TestFramer_BrokenStream(t *testing.T) {
-	for _, bad := range []string{"[1]", "{} x", "null", "\"{}\"", "}"} {
+	for _, invalid := range []string{"[1]", "{} x", "null", "\"{}\"", "}"} {
 		f := &Framer{}
-		if _, err := split(f, []byte(bad), 1); err == nil {
-			t.Errorf("%q is accepted", bad)
+		if _, err := split(f, []byte(invalid), 1); err == nil {
+			t.Errorf("%q is accepted", invalid)
 		}
 		f.Feed([]byte("{}"))
 		if object, err := f.Next(); err == nil {
-			t.Errorf("%q: the stream goes on with %q", bad, object)
+			t.Errorf("%q: Next returns %q after the error", invalid, object)
 		}
 	}
 	f := &Framer{MaxBytes: 100}
@@ -63,7 +63,8 @@
 	}
 }
 
-// A stream is split as encoding/json's Decoder splits it, and in the same places in pieces of any size.
+// FuzzFramer checks that a stream is split as encoding/json's Decoder splits it, independently of the size of the
+// pieces.
 func FuzzFramer(f *testing.F) {
 	for _, s := range []string{`{"version":1}`, "{\n \"servers\": [ {} ]\n}\n\n{}", `{"a":"\\\""}{`, `{"a":]}`, "{}5"} {
 		f.Add([]byte(s), uint8(3))
@@ -78,7 +79,7 @@
 		for i := 0; ; i++ {
 			var want json.RawMessage
 			if decodeErr := decoder.Decode(&want); decodeErr != nil {
-				// The Decoder also rejects an object that is malformed; that is left to the framer's caller.
+				// The Decoder also rejects an object that is malformed; the framer leaves that to its caller.
 				if errors.Is(decodeErr, io.EOF) && len(got) > i {
 					t.Fatalf("%q beyond the end", got[i:])
 				}
