--- a/internal/protocol/sru/response.go
+++ b/internal/protocol/sru/response.go
@@ -15,14 +15,14 @@
 
 // Response is a server's response to a search or an update.
 type Response struct {
-	query.PartResult // Diagnostic: of an update, too
-	Update           bool
-	Succeeded        bool   // of an update: it succeeded
-	ID               string // of an update: the record's identifier
+	query.PartResult        // the results of a search; Diagnostic is also set for an update
+	Update           bool   // the response is to an update
+	Succeeded        bool   // whether the update succeeded
+	ID               string // identifier of the updated record
 }
 
-// ParseResponse reads a server's response, bare or in a SOAP envelope. An error means that it is not one; a diagnostic in
-// it is no error.
+// ParseResponse decodes a server's response, bare or in a SOAP envelope. It returns an error if the text is not a valid
+// response; a diagnostic in the response is not an error.
 func ParseResponse(text []byte) (Response, error) {
 	var response Response
 	root, err := parseXML(text)
@@ -33,7 +33,7 @@
 	case "searchRetrieveResponse":
 		count := root.text("numberOfRecords")
 		if response.Count, err = strconv.Atoi(count); err != nil || response.Count < 0 {
-			return response, fmt.Errorf("numberOfRecords %q", count)
+			return response, fmt.Errorf("sru: invalid numberOfRecords %q", count)
 		}
 		response.Records = parseRecords(root)
 	case "updateResponse":
@@ -41,7 +41,7 @@
 		response.Succeeded = root.text("operationStatus") == statusSuccess
 		response.ID = root.text("recordIdentifier")
 	default:
-		return response, fmt.Errorf("an answer of the kind %q", root.XMLName.Local)
+		return response, fmt.Errorf("sru: unexpected response element %q", root.XMLName.Local)
 	}
 	if diagnostics := root.child("diagnostics"); diagnostics != nil && len(diagnostics.Children) > 0 {
 		first := &diagnostics.Children[0]
@@ -50,7 +50,7 @@
 	return response, nil
 }
 
-// parseRecords returns the records in the response to a search.
+// parseRecords returns the records in a search response.
 func parseRecords(response *element) []query.Record {
 	list := response.child("records")
 	if list == nil {
--- a/internal/protocol/sru/search.go
+++ b/internal/protocol/sru/search.go
@@ -9,24 +9,24 @@
 	"rooktrestle/internal/query"
 )
 
-// Operations of a Request.
+// Values of Request.Operation.
 const (
 	OperationExplain = "explain"
 	OperationSearch  = "searchRetrieve"
 )
 
-// Request is a searchRetrieve or an explain request.
+// Request is a decoded searchRetrieve or explain request.
 type Request struct {
 	Operation   string
 	Query       query.Node
-	CQL         string // text of the query
+	CQL         string // unparsed text of Query
 	StartRecord int    // position of the first record, from 1
-	MaxRecords  int    // records requested; negative: not given
+	MaxRecords  int    // maximum number of records in the response; negative: not given
 	Packing     string // PackingXML or PackingString
 	Schema      string // of records; empty: not given
 }
 
-// ParseRequest reads the parameters of a request; without any it is an explain. The error is a *Fault.
+// ParseRequest decodes the parameters of a request; no parameters mean explain. The error is a *DiagnosticError.
 func ParseRequest(params url.Values) (Request, error) {
 	request := Request{StartRecord: 1, MaxRecords: -1, Packing: PackingXML, Operation: params.Get("operation")}
 	if len(params) == 0 {
@@ -74,7 +74,7 @@
 	return NewDiagnosticError(UnsupportedVersion, "1.2")
 }
 
-// setParameter takes one parameter of a search.
+// setParameter applies one parameter of a search.
 func (r *Request) setParameter(name, value string) error {
 	switch name {
 	case "version", "operation", "resultSetTTL":
@@ -98,14 +98,14 @@
 	case "stylesheet":
 		return NewDiagnosticError(StylesheetsUnsupported, value)
 	default:
-		if !strings.HasPrefix(name, "x-") { // an extension, which may be ignored
+		if !strings.HasPrefix(name, "x-") { // extension parameters are ignored
 			return NewDiagnosticError(UnsupportedParameter, name)
 		}
 	}
 	return nil
 }
 
-// setNumber takes a parameter that is a number from a minimum on.
+// setNumber parses the value of an integer parameter, which must be at least minimum, into field.
 func setNumber(field *int, name, value string, minimum int) error {
 	number, err := strconv.Atoi(value)
 	if err != nil || number < minimum {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// parseQuery reads the query, in which result sets cannot be named.
+// parseQuery parses the query and rejects references to result sets, which are not supported over SRU.
 func (r *Request) parseQuery() error {
 	tree, err := query.Parse(r.CQL)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// SearchTarget returns the request target of a search on a database, for a GET.
+// SearchTarget returns the request target of a GET that searches a database.
 func SearchTarget(database, cql string, startRecord, maxRecords int) string {
 	params := url.Values{
 		"operation": {OperationSearch}, "version": {"1.2"}, "query": {cql}, "recordPacking": {PackingXML},
@@ -140,17 +140,17 @@
 	return "/" + url.PathEscape(database) + "?" + params.Encode()
 }
 
-// SearchResult is what the response to a search says.
+// SearchResult is the content of a search response.
 type SearchResult struct {
-	Count       int // records that match
+	Count       int // number of matching records
 	Records     []query.Record
 	StartRecord int    // position of the first of Records, from 1
-	NextRecord  int    // position of the record after Records; 0: there is none
+	NextRecord  int    // position of the record after Records; 0: none
 	Packing     string // PackingXML or PackingString
 	Diagnostics []query.Diagnostic
 }
 
-// SearchResponse prints the response to a search.
+// SearchResponse encodes the response to a search.
 func SearchResponse(result SearchResult) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, XMLHeader+
@@ -171,10 +171,10 @@
 	return []byte(b.String())
 }
 
-// recordElement prints one record of a response.
+// recordElement encodes one record of a response.
 func recordElement(record query.Record, packing string, position int) string {
 	data := record.XML
-	// A record that is not XML would break the whole response.
+	// A record that is not well-formed XML would make the complete response malformed.
 	if _, err := parseXML([]byte(data)); err != nil {
 		packing = PackingString
 	}
@@ -191,7 +191,7 @@
 	return b.String()
 }
 
-// schemaOf returns the schema of a record, DefaultSchema if it names none.
+// schemaOf returns a record's schema, or DefaultSchema if it has none.
 func schemaOf(record query.Record) string {
 	if record.Schema == "" {
 		return DefaultSchema
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -1,5 +1,5 @@
-// Package sru encodes and decodes SRU 1.2 (search and retrieve via URL) and its record update: requests, responses and
-// diagnostics. It does no I/O.
+// Package sru encodes and decodes requests, responses and diagnostics of SRU 1.2 (Search/Retrieve via URL) and of SRU
+// Record Update. It does no I/O.
 package sru
 
 import (
@@ -14,26 +14,26 @@
 // XMLType is the media type of responses and of updates.
 const XMLType = "text/xml; charset=utf-8"
 
-// XML namespaces and the prefixes of identifiers.
+// XML namespaces and identifier prefixes.
 const (
 	NamespaceSRW        = "http://www.loc.gov/zing/srw/"
 	namespaceDiagnostic = "http://www.loc.gov/zing/srw/diagnostic/"
 	namespaceUpdate     = "http://www.loc.gov/zing/srw/update/"
 	namespaceSOAP       = "http://schemas.xmlsoap.org/soap/envelope/"
-	Diag                = "info:srw/diagnostic/1/" // of diagnostics
-	actionPrefix        = "info:srw/action/1/"     // of the actions of an update
+	Diag                = "info:srw/diagnostic/1/" // prefix of diagnostic identifiers
+	actionPrefix        = "info:srw/action/1/"     // prefix of update actions
 
-	// DefaultSchema is the schema of records that name none.
+	// DefaultSchema is the schema of records without one.
 	DefaultSchema = "info:srw/schema/1/dc-v1.1"
 )
 
-// Packings of records in a response.
+// Record packings.
 const (
 	PackingXML    = "xml"    // as markup
 	PackingString = "string" // as escaped text
 )
 
-// Diagnostics of the SRU diagnostic set that are sent.
+// Codes of the SRU diagnostic set that this program sends.
 const (
 	GeneralSystemError     = 1
 	TemporarilyUnavailable = 2
@@ -52,7 +52,7 @@
 	DatabaseDoesNotExist   = 235
 )
 
-// messages are the texts of diagnostics by their numbers, those of queries included.
+// messages maps diagnostic codes to their messages, including the codes of package query.
 var messages = map[int]string{
 	1:   "General system error",
 	2:   "System temporarily unavailable",
@@ -85,42 +85,42 @@
 	235: "Database does not exist",
 }
 
-// DiagnosticError is the error of a request that is rejected with a diagnostic.
+// DiagnosticError is the error for a request that is rejected with a diagnostic.
 type DiagnosticError struct {
 	Code    int // of the SRU diagnostic set
 	Details string
 }
 
-// NewDiagnosticError returns the error of a diagnostic's number, with its details.
+// NewDiagnosticError returns the error for a diagnostic code with details.
 func NewDiagnosticError(code int, details string) *DiagnosticError {
 	return &DiagnosticError{code, details}
 }
 
 // Error returns the diagnostic's identifier, message and details.
-func (f *DiagnosticError) Error() string {
-	return fmt.Sprintf("%s%d %s: %s", Diag, f.Code, messages[f.Code], f.Details)
+func (e *DiagnosticError) Error() string {
+	return fmt.Sprintf("%s%d %s: %s", Diag, e.Code, messages[e.Code], e.Details)
 }
 
-// Diagnostic returns the diagnostic of the fault.
-func (f *DiagnosticError) Diagnostic() query.Diagnostic {
-	return query.Diagnostic{SRU: Diag + strconv.Itoa(f.Code), Details: f.Details}
+// Diagnostic returns the diagnostic to send.
+func (e *DiagnosticError) Diagnostic() query.Diagnostic {
+	return query.Diagnostic{SRU: Diag + strconv.Itoa(e.Code), Details: e.Details}
 }
 
-// AsDiagnosticError returns the fault in an error, or that of the *query.Error in it, or else a general system error with the error's
-// text.
+// AsDiagnosticError returns the *DiagnosticError that err wraps, or one converted from the *query.Error that err wraps,
+// or else a general system error with err's text.
 func AsDiagnosticError(err error) *DiagnosticError {
 	var queryError *query.Error
-	var fault *DiagnosticError
+	var diagnosticError *DiagnosticError
 	switch {
-	case errors.As(err, &fault):
-		return fault
+	case errors.As(err, &diagnosticError):
+		return diagnosticError
 	case errors.As(err, &queryError):
 		return NewDiagnosticError(queryError.SRU, queryError.Details)
 	}
 	return NewDiagnosticError(GeneralSystemError, err.Error())
 }
 
-// diagnosticsElement prints diagnostics, and nothing if there are none.
+// diagnosticsElement encodes diagnostics; the result is empty if there are none.
 func diagnosticsElement(diagnostics []query.Diagnostic) string {
 	if len(diagnostics) == 0 {
 		return ""
@@ -129,7 +129,7 @@
 	for _, d := range diagnostics {
 		code := 0
 		if number, ok := strings.CutPrefix(d.SRU, Diag); ok {
-			code, _ = strconv.Atoi(number) // an unknown diagnostic has no message
+			code, _ = strconv.Atoi(number) // an unknown code has no message
 		}
 		fmt.Fprintf(&b, `<diagnostic xmlns="%s"><uri>%s</uri><details>%s</details><message>%s</message></diagnostic>`,
 			namespaceDiagnostic, EscapeText(d.SRU), EscapeText(d.Details), EscapeText(messages[code]))
--- a/internal/protocol/sru/sru_test.go
+++ b/internal/protocol/sru/sru_test.go
@@ -10,7 +10,7 @@
 	"rooktrestle/internal/query"
 )
 
-// The other tests name diagnostics by these constants; their numbers are on the wire.
+// The other tests refer to diagnostics by these constants, so only this test detects a wrong code on the wire.
 func TestDiagnostics_HaveTheNumbersOfTheSet(t *testing.T) {
 	for number, got := range map[int]int{
 		1:   GeneralSystemError,
@@ -30,7 +30,7 @@
 		235: DatabaseDoesNotExist,
 	} {
 		if got != number {
-			t.Errorf("diagnostic %d has the number %d", number, got)
+			t.Errorf("diagnostic code %d, want %d", got, number)
 		}
 		if messages[number] == "" {
 			t.Errorf("diagnostic %d has no message", number)
@@ -39,7 +39,7 @@
 }
 
 func TestParseRequest_Diagnostics(t *testing.T) {
-	good := "operation=searchRetrieve&version=1.2&query=cat"
+	valid := "operation=searchRetrieve&version=1.2&query=cat"
 	for more, want := range map[string]int{
 		"": 0,
 		"&maximumRecords=0&startRecord=3&recordPacking=string&x-any=1": 0,
@@ -51,13 +51,13 @@
 		"&nothing=1":         UnsupportedParameter,
 		"&version=1.2":       UnsupportedValue,
 	} {
-		params, err := url.ParseQuery(good + more)
+		params, err := url.ParseQuery(valid + more)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, err = ParseRequest(params)
-		var f *DiagnosticError
-		if got := errors.As(err, &f); got != (want != 0) || got && f.Code != want {
+		var diagnosticError *DiagnosticError
+		if got := errors.As(err, &diagnosticError); got != (want != 0) || got && diagnosticError.Code != want {
 			t.Errorf("%s: %v, want %d", more, err, want)
 		}
 	}
@@ -71,8 +71,8 @@
 	} {
 		params, _ := url.ParseQuery(text)
 		_, err := ParseRequest(params)
-		var f *DiagnosticError
-		if !errors.As(err, &f) || f.Code != want {
+		var diagnosticError *DiagnosticError
+		if !errors.As(err, &diagnosticError) || diagnosticError.Code != want {
 			t.Errorf("%s: %v, want %d", text, err, want)
 		}
 	}
@@ -84,7 +84,7 @@
 		{Action: query.ActionDelete, Record: query.Record{ID: "1:x"}},
 	} {
 		if got, err := ParseUpdate(UpdateRequest(u)); err != nil || got != u {
-			t.Errorf("%+v came back as %+v, %v", u, got, err)
+			t.Errorf("%+v encoded and decoded: %+v, %v", u, got, err)
 		}
 	}
 	for text, want := range map[string]int{
@@ -98,14 +98,15 @@
 		"<updateRequest><version>9</version><action>info:srw/action/1/delete</action></updateRequest>":                   UnsupportedVersion,
 	} {
 		_, err := ParseUpdate([]byte(text))
-		var f *DiagnosticError
-		if !errors.As(err, &f) || f.Code != want {
+		var diagnosticError *DiagnosticError
+		if !errors.As(err, &diagnosticError) || diagnosticError.Code != want {
 			t.Errorf("%.60s: %v, want %d", text, err, want)
 		}
 	}
 }
 
-// A record keeps the namespace prefixes that were declared around it, and one that is not XML does not break the response.
+// Guards against records whose namespace prefixes are declared outside of recordData and are lost when the record is
+// taken out of the response, and against a malformed record that makes the complete response malformed.
 func TestRecords_KeepNamespacePrefixes(t *testing.T) {
 	in := `<z:searchRetrieveResponse xmlns:z="http://www.loc.gov/zing/srw/" xmlns:dc="http://purl.org/dc/elements/1.1/">` +
 		`<z:numberOfRecords>1</z:numberOfRecords><z:records><z:record><z:recordPacking>xml</z:recordPacking>` +
--- a/internal/protocol/sru/update.go
+++ b/internal/protocol/sru/update.go
@@ -13,8 +13,8 @@
 	Record query.Record
 }
 
-// ParseUpdate reads an updateRequest, bare or in a SOAP envelope. The error is a *Fault; the update then holds what was
-// read before it.
+// ParseUpdate decodes an updateRequest, bare or in a SOAP envelope. The error is a *DiagnosticError; the returned
+// update then contains the fields that were decoded before it.
 func ParseUpdate(text []byte) (Update, error) {
 	var update Update
 	request, err := parseXML(text)
@@ -50,7 +50,7 @@
 	return update, nil
 }
 
-// UpdateRequest prints an update in a SOAP envelope.
+// UpdateRequest encodes an update in a SOAP envelope.
 func UpdateRequest(update Update) []byte {
 	record := ""
 	if update.Record.XML != "" {
@@ -64,7 +64,7 @@
 		namespaceSOAP, namespaceUpdate, actionPrefix, update.Action, EscapeText(update.Record.ID), record)
 }
 
-// UpdateResponse prints the response to an update of the record with an identifier, in a SOAP envelope.
+// UpdateResponse encodes the response to an update of the record id in a SOAP envelope.
 func UpdateResponse(succeeded bool, id string, diagnostics []query.Diagnostic) []byte {
 	status := statusFail
 	if succeeded {
--- a/internal/protocol/sru/xml.go
+++ b/internal/protocol/sru/xml.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// XMLHeader begins every document.
+// XMLHeader is the XML declaration that every document starts with.
 const XMLHeader = `<?xml version="1.0" encoding="UTF-8"?>` + "\n"
 
-// maxDepth is the depth to which elements may be nested.
+// maxDepth is the maximum nesting depth of elements.
 const maxDepth = 32
 
-// element is any XML element.
+// element is an XML element of any name.
 type element struct {
 	XMLName  xml.Name
 	Attrs    []xml.Attr `xml:",any,attr"`
@@ -23,7 +23,7 @@
 	Children []element  `xml:",any"`
 }
 
-// child returns the first child of a name, in any namespace; nil if there is none.
+// child returns the first child with a local name, in any namespace; nil if there is none.
 func (e *element) child(name string) *element {
 	for i := range e.Children {
 		if e.Children[i].XMLName.Local == name {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// text returns the text of the element at the end of a path of names, empty if there is none.
+// text returns the text of the descendant at a path of local names, empty if there is none.
 func (e *element) text(path ...string) string {
 	for _, name := range path {
 		if e = e.child(name); e == nil {
@@ -43,8 +43,8 @@
 	return strings.TrimSpace(e.Text)
 }
 
-// recordData returns the data of a record: the text in it if it is packed as a string, else the markup, in which the
-// prefixes that are declared around it are declared again. path leads from the root to the record.
+// recordData returns the data of a record: the text if the record is packed as a string, else the markup with the
+// namespace declarations that it needs. path contains the elements from the root to the record.
 func recordData(path ...*element) string {
 	record := path[len(path)-1]
 	data := record.child("recordData")
@@ -57,8 +57,8 @@
 	return markup(append(path, data)...)
 }
 
-// markup returns the markup inside the element at the end of a path. Namespace prefixes that an element of the path
-// declares and the markup uses are declared on its first element, so that it can stand on its own.
+// markup returns the markup inside the last element of a path. If the markup uses namespace prefixes that an element of
+// the path declares, the declarations are added to its first element, so that it is valid outside the document.
 func markup(path ...*element) string {
 	text := strings.TrimSpace(path[len(path)-1].Inner)
 	nameEnd := strings.IndexAny(text, "> /\t\r\n")
@@ -66,7 +66,7 @@
 		return text
 	}
 	tag, _, _ := strings.Cut(text, ">")
-	namespaces := map[string]string{} // by prefix; the innermost declaration counts
+	namespaces := map[string]string{} // by prefix; the innermost declaration applies
 	var prefixes []string
 	for _, e := range path {
 		for _, attribute := range e.Attrs {
@@ -89,8 +89,9 @@
 	return text[:nameEnd] + declarations + text[nameEnd:]
 }
 
-// parseXML reads a document, and returns the message in it if it is a SOAP envelope. It rejects deeply nested elements and
-// document types, which guards against unbounded recursion and against entities that expand.
+// parseXML parses a document and returns its root element, or the message in it if it is a SOAP envelope. It rejects
+// deeply nested elements, which would lead to unbounded recursion, and document types, which would allow entity
+// expansion.
 func parseXML(text []byte) (*element, error) {
 	if err := checkXML(text); err != nil {
 		return nil, err
@@ -109,7 +110,7 @@
 	return &root, nil
 }
 
-// checkXML returns an error if a document is not well-formed or not within the limits.
+// checkXML returns an error if a document is not well-formed, nested over maxDepth, or has a document type.
 func checkXML(text []byte) error {
 	decoder := xml.NewDecoder(strings.NewReader(string(text)))
 	for depth := 0; ; {
@@ -134,9 +135,9 @@
 	}
 }
 
-// EscapeText escapes a text for XML, in an element or in an attribute.
+// EscapeText escapes text for use in an XML element or attribute.
 func EscapeText(s string) string {
 	var b strings.Builder
-	_ = xml.EscapeText(&b, []byte(s)) // a strings.Builder does not fail
+	_ = xml.EscapeText(&b, []byte(s)) // writing to a strings.Builder does not fail
 	return b.String()
 }
