--- a/internal/protocol/z3950/ber.go
+++ b/internal/protocol/z3950/ber.go
@@ -1,4 +1,4 @@
-// Package z3950 encodes and decodes the protocol data units of Z39.50 version 3 in BER. It does no I/O.
+// Package z3950 encodes and decodes the protocol data units (PDUs) of Z39.50 version 3 in BER. It does no I/O.
 package z3950
 
 import (
@@ -6,44 +6,44 @@
 	"fmt"
 )
 
-// Limits of what is decoded. They guard the stack and memory against a hostile peer.
+// Limits of the decoder. They bound the stack and the memory that a malicious peer can use.
 const (
-	MaxPDU   = 1 << 20 // bytes of one value
-	maxDepth = 48      // of values within values
-	maxNodes = 20000   // values in a unit
+	MaxPDU   = 1 << 20 // content bytes of one value
+	maxDepth = 48      // nesting depth of values
+	maxNodes = 20000   // values in a PDU
 )
 
-// ErrMore is returned by Decode if the bytes end before the value does.
+// ErrMore is returned by Decode if the data ends before the value is complete.
 var ErrMore = errors.New("z3950: more bytes are needed")
 
 // Parts of the identifier and length octets.
 const (
-	constructedBit = 0x20
-	longTag        = 0x1f // the tag follows, in seven bits an octet
-	moreBit        = 0x80 // another octet of a long tag or of an object identifier's number follows
-	maxTagOctets   = 4
-	longLength     = 0x80 // the length follows, in as many octets as the other bits say; none: it is indefinite
-	maxLengthBytes = 4
+	constructedBit  = 0x20
+	longTag         = 0x1f // the tag follows, with seven bits per octet
+	moreBit         = 0x80 // another octet of a long tag, or of a number of an object identifier, follows
+	maxTagOctets    = 4
+	longLength      = 0x80 // the length follows in as many octets as the other bits give; 0: indefinite length
+	maxLengthOctets = 4
 )
 
-// indefinite is the length of a value that lasts until two zero octets.
+// indefinite marks a value of indefinite length, which ends at two zero octets.
 const indefinite = -1
 
-// Decode reads one value from the front of data and returns it with the bytes after it. The value shares no memory with
-// data. The error is ErrMore if data ends too soon; any other means that data does not begin with a value within the
-// limits.
+// Decode decodes one value at the start of data and returns it with the remaining bytes. The value shares no memory
+// with data. The error is ErrMore if the value is incomplete; any other error means that data does not start with a
+// valid value within the limits.
 func Decode(data []byte) (value *Node, rest []byte, err error) {
 	d := decoder{remaining: maxNodes}
-	return d.value(data, 0)
+	return d.decodeValue(data, 0)
 }
 
-// decoder decodes one unit.
+// decoder decodes one PDU.
 type decoder struct {
-	remaining int // values that may still come
+	remaining int // number of values that may still be decoded
 }
 
-// value decodes a value at a depth and all values in it.
-func (d *decoder) value(data []byte, depth int) (*Node, []byte, error) {
+// decodeValue decodes a value at a nesting depth, with all values inside.
+func (d *decoder) decodeValue(data []byte, depth int) (*Node, []byte, error) {
 	if depth > maxDepth {
 		return nil, nil, fmt.Errorf("z3950: nested over %d deep", maxDepth)
 	}
@@ -65,7 +65,7 @@
 	case size == indefinite && !n.IsConstructed:
 		return nil, nil, errors.New("z3950: a primitive without a length")
 	case size == indefinite:
-		return d.untilEnd(n, data, depth)
+		return d.decodeIndefinite(n, data, depth)
 	case size > MaxPDU:
 		return nil, nil, fmt.Errorf("z3950: a value of %d bytes", size)
 	case len(data) < size:
@@ -78,7 +78,7 @@
 		return n, rest, nil
 	}
 	for len(content) > 0 {
-		child, after, err := d.value(content, depth+1)
+		child, after, err := d.decodeValue(content, depth+1)
 		if errors.Is(err, ErrMore) {
 			err = errors.New("z3950: a value is longer than what holds it")
 		}
@@ -91,13 +91,13 @@
 	return n, rest, nil
 }
 
-// untilEnd decodes the values in n, whose length is indefinite.
-func (d *decoder) untilEnd(n *Node, data []byte, depth int) (*Node, []byte, error) {
+// decodeIndefinite decodes the values inside n, which has indefinite length.
+func (d *decoder) decodeIndefinite(n *Node, data []byte, depth int) (*Node, []byte, error) {
 	for {
 		if len(data) >= 2 && data[0] == 0 && data[1] == 0 {
 			return n, data[2:], nil
 		}
-		child, rest, err := d.value(data, depth+1)
+		child, rest, err := d.decodeValue(data, depth+1)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// decodeIdentifier reads the class and tag of a value. data is not empty.
+// decodeIdentifier decodes the class and tag of a value. data must not be empty.
 func decodeIdentifier(data []byte) (n *Node, rest []byte, err error) {
 	n = &Node{
 		Class:         Class(data[0] >> 6),
@@ -132,7 +132,7 @@
 	}
 }
 
-// decodeLength reads the length of a value, which may be indefinite.
+// decodeLength decodes the length of a value, which may be indefinite.
 func decodeLength(data []byte) (size int, rest []byte, err error) {
 	if len(data) == 0 {
 		return 0, nil, ErrMore
@@ -146,7 +146,7 @@
 		return size, data, nil
 	}
 	octets := size &^ longLength
-	if octets > maxLengthBytes {
+	if octets > maxLengthOctets {
 		return 0, nil, errors.New("z3950: a length too long")
 	}
 	if len(data) < octets {
@@ -159,7 +159,7 @@
 	return size, data[octets:], nil
 }
 
-// Encode appends the value to data, in definite lengths, and returns the extended slice.
+// Encode appends the value to data, with definite lengths, and returns the extended slice.
 func (n *Node) Encode(data []byte) []byte {
 	identifier := byte(n.Class) << 6
 	content := n.Bytes
@@ -174,7 +174,7 @@
 		data = append(data, identifier|byte(n.Tag))
 	} else {
 		data = append(data, identifier|longTag)
-		data = appendSevenBits(data, n.Tag, maxTagOctets)
+		data = appendBase128(data, n.Tag, maxTagOctets)
 	}
 	switch size := len(content); {
 	case size < longLength:
--- a/internal/protocol/z3950/ber_test.go
+++ b/internal/protocol/z3950/ber_test.go
@@ -11,25 +11,25 @@
 )
 
 func TestDecode_KnownBytes(t *testing.T) {
-	// A constructed octet string in segments inside an indefinite length, as old origins send.
+	// A segmented octet string inside values of indefinite length, as older origins send it.
 	n, rest, err := Decode([]byte("\xb6\x80\xbf\x69\x80\x04\x01a\x04\x02bc\x00\x00\x00\x00tail"))
 	if err != nil || n.Tag != SearchRequest || n.Child(FieldDatabaseName).Text() != "abc" || string(rest) != "tail" {
 		t.Errorf("decoded %+v, then %q, %v", n, rest, err)
 	}
-	for _, bad := range []string{
+	for _, malformed := range []string{
 		"\x04\x80",                     // a primitive of indefinite length
-		"\x30\x02\x04\x05",             // a value longer than the one that holds it
+		"\x30\x02\x04\x05",             // a value longer than the one that contains it
 		"\xbf\xff\xff\xff\xff\x01\x00", // a tag of five octets
 		"\x30\x85\x00\x00\x00\x00\x00", // a length of five octets
 		strings.Repeat("\x30\x80", 60), // nested too deep
 	} {
-		if _, _, err := Decode([]byte(bad)); err == nil || errors.Is(err, ErrMore) {
-			t.Errorf("malformed %q: %v", bad, err)
+		if _, _, err := Decode([]byte(malformed)); err == nil || errors.Is(err, ErrMore) {
+			t.Errorf("malformed %q: %v", malformed, err)
 		}
 	}
-	for _, short := range []string{"", "\x30", "\x30\x05\x04", "\xbf", "\x30\x82\x01", "\x30\x80"} {
-		if _, _, err := Decode([]byte(short)); !errors.Is(err, ErrMore) {
-			t.Errorf("incomplete %q: %v", short, err)
+	for _, incomplete := range []string{"", "\x30", "\x30\x05\x04", "\xbf", "\x30\x82\x01", "\x30\x80"} {
+		if _, _, err := Decode([]byte(incomplete)); !errors.Is(err, ErrMore) {
+			t.Errorf("incomplete %q: %v", incomplete, err)
 		}
 	}
 }
@@ -37,15 +37,15 @@
 func TestIntegersAndOIDs_RoundTrip(t *testing.T) {
 	for _, v := range []int{0, 1, 127, 128, 255, 256, 32767, 32768, 1 << 20, 1 << 30, -1, -128, -129, -70000} {
 		if got, ok := Integer(1, v).integer(); !ok || got != v {
-			t.Errorf("%d came back as %d", v, got)
+			t.Errorf("%d encoded and decoded: %d", v, got)
 		}
 	}
 	if b := Integer(1, 128).Bytes; !bytes.Equal(b, []byte{0, 128}) {
-		t.Errorf("128 is % x", b)
+		t.Errorf("128 is encoded as % x", b)
 	}
 	for _, o := range []string{oidBib1, OidXML, oidUpdate1, "2.100.3"} {
 		if got := OID(Universal, tagOID, o).OID(); got != o {
-			t.Errorf("%s came back as %s", o, got)
+			t.Errorf("%s encoded and decoded: %s", o, got)
 		}
 	}
 	if b := encodeOID(oidBib1); string(b) != "\x2a\x86\x48\xce\x13\x03\x01" {
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		if back, err := ParseRPN(sent); err != nil || !reflect.DeepEqual(back, tree) {
-			t.Errorf("%s came back as %v, %v", text, back, err)
+			t.Errorf("%s encoded and decoded: %v, %v", text, back, err)
 		}
 	}
 	want := query.Record{ID: "3:9", XML: "<line/>"}
@@ -82,7 +82,8 @@
 	}
 }
 
-// A decoded value encodes to bytes that decode to the same value. No input makes the decoder or the parsers of units panic.
+// FuzzDecode checks that a decoded value encodes to bytes that decode to the same value, and that no input makes the
+// decoder or the parsers of PDUs panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(Constructed(SearchRequest,
 		String(FieldResultSetName, "x"),
@@ -98,9 +99,9 @@
 		}
 		again, rest, err := Decode(n.Encode(nil))
 		if err != nil || len(rest) > 0 || !bytes.Equal(n.Encode(nil), again.Encode(nil)) {
-			t.Fatalf("%+v came back as %+v, %v", n, again, err)
+			t.Fatalf("%+v encoded and decoded: %+v, %v", n, again, err)
 		}
-		_, _ = ParseRPN(n.Child(FieldQuery)) // only a panic is a fault
+		_, _ = ParseRPN(n.Child(FieldQuery)) // only a panic is a failure
 		_, _ = ParseUpdate(n)
 		_, _ = ParseRecords(n)
 	})
--- a/internal/protocol/z3950/node.go
+++ b/internal/protocol/z3950/node.go
@@ -11,8 +11,8 @@
 
 // Classes of tags.
 const (
-	Universal Class = 0 // types of ASN.1
-	Context   Class = 2 // fields of the value around
+	Universal Class = 0 // ASN.1 types
+	Context   Class = 2 // context-specific: fields of the enclosing value
 )
 
 // Universal tags.
@@ -25,32 +25,33 @@
 	tagGeneral  = 27 // GeneralString
 )
 
-// Node is a BER value. Its methods that read it may be called on nil, which is an absent value.
+// Node is a BER value. A nil Node is an absent value, on which Child, OnlyChild, Text, IntOr, Bool, Bit and OID may be
+// called.
 type Node struct {
 	Class         Class
 	Tag           int
-	IsConstructed bool    // constructed: it consists of values
+	IsConstructed bool    // the value consists of values, not of bytes
 	Bytes         []byte  // of a primitive value
 	Children      []*Node // of a constructed value
 }
 
-// is returns whether a value has a context tag.
-func (n *Node) is(tag int) bool { return n.Class == Context && n.Tag == tag }
+// hasTag reports whether a value has a context tag.
+func (n *Node) hasTag(tag int) bool { return n.Class == Context && n.Tag == tag }
 
-// Child returns the first value inside with a context tag, nil if there is none.
+// Child returns the first child with a context tag, nil if there is none.
 func (n *Node) Child(tag int) *Node {
 	if n == nil {
 		return nil
 	}
 	for _, child := range n.Children {
-		if child.is(tag) {
+		if child.hasTag(tag) {
 			return child
 		}
 	}
 	return nil
 }
 
-// OnlyChild returns the value inside an explicit tag, nil if there is not exactly one.
+// OnlyChild returns the only child, such as the value inside an explicit tag; nil if there is not exactly one.
 func (n *Node) OnlyChild() *Node {
 	if n == nil || len(n.Children) != 1 {
 		return nil
@@ -73,7 +74,7 @@
 	return text.String()
 }
 
-// integer returns the value of an INTEGER of up to 64 bits; ok is false if it is none.
+// integer returns the value of an INTEGER of up to 64 bits; ok is false if the node is not one.
 func (n *Node) integer() (value int, ok bool) {
 	if n == nil || n.IsConstructed || len(n.Bytes) == 0 || len(n.Bytes) > 8 {
 		return 0, false
@@ -85,23 +86,23 @@
 	return int(v), true
 }
 
-// IntOr returns the value of an INTEGER, or other if it is absent or no INTEGER of up to 64 bits.
-func (n *Node) IntOr(other int) int {
+// IntOr returns the value of an INTEGER, or fallback if it is absent or not an INTEGER of up to 64 bits.
+func (n *Node) IntOr(fallback int) int {
 	if v, ok := n.integer(); ok {
 		return v
 	}
-	return other
+	return fallback
 }
 
 // Bool returns the value of a BOOLEAN, false if it is absent.
 func (n *Node) Bool() bool { return n != nil && len(n.Bytes) == 1 && n.Bytes[0] != 0 }
 
-// Bit returns a bit of a BIT STRING, false if it is not in it.
+// Bit returns bit i of a BIT STRING, false if the string is shorter or absent.
 func (n *Node) Bit(i int) bool {
 	return n != nil && len(n.Bytes) > 1+i/8 && n.Bytes[1+i/8]&(0x80>>(i%8)) != 0
 }
 
-// maxOIDNumber is the highest number in an object identifier.
+// maxOIDNumber is the maximum of each number in an object identifier.
 const maxOIDNumber = 1 << 28
 
 // OID returns an OBJECT IDENTIFIER in dotted form, empty if it is absent or malformed.
@@ -166,19 +167,19 @@
 	return primitive(Context, tag, []byte{octet})
 }
 
-// BitString returns a BIT STRING of 16 bits with a context tag, in which the bits of set, 0 to 15, are set.
+// BitString returns a BIT STRING of 16 bits with a context tag. set lists the bits that are set, from 0 to 15.
 func BitString(tag int, set ...int) *Node {
-	b := []byte{0, 0, 0} // unused bits in the last octet, and the octets
+	b := []byte{0, 0, 0} // number of unused bits in the last octet, then the 16 bits
 	for _, i := range set {
 		b[1+i/8] |= 0x80 >> (i % 8)
 	}
 	return primitive(Context, tag, b)
 }
 
-// OID returns an OBJECT IDENTIFIER, which is given in dotted form.
+// OID returns an OBJECT IDENTIFIER with a tag, from its dotted form.
 func OID(class Class, tag int, dotted string) *Node { return primitive(class, tag, encodeOID(dotted)) }
 
-// encodeInteger encodes an INTEGER in as few octets as it needs.
+// encodeInteger encodes an INTEGER in the minimum number of octets.
 func encodeInteger(v int) []byte {
 	b := []byte{byte(v)}
 	for rest := v >> 7; rest != 0 && rest != -1; rest >>= 8 {
@@ -187,9 +188,9 @@
 	return b
 }
 
-// encodeOID encodes an object identifier. The dotted form is a constant of this package and well formed.
+// encodeOID encodes an object identifier. dotted must be well-formed; callers pass constants of this package.
 func encodeOID(dotted string) []byte {
-	const maxOctets = 5 // of a number
+	const maxOctets = 5 // per number
 	var b []byte
 	top := 0
 	for i, part := range strings.Split(dotted, ".") {
@@ -201,13 +202,13 @@
 		case 1:
 			number += top * 40 // the first two numbers are encoded as one
 		}
-		b = appendSevenBits(b, number, maxOctets)
+		b = appendBase128(b, number, maxOctets)
 	}
 	return b
 }
 
-// appendSevenBits appends a number in seven bits an octet, at most so many octets.
-func appendSevenBits(b []byte, number, maxOctets int) []byte {
+// appendBase128 appends a number in base 128, with seven bits per octet and at most maxOctets octets.
+func appendBase128(b []byte, number, maxOctets int) []byte {
 	for shift := 7 * (maxOctets - 1); shift >= 0; shift -= 7 {
 		part := number >> shift
 		if part == 0 && shift > 0 {
--- a/internal/protocol/z3950/records.go
+++ b/internal/protocol/z3950/records.go
@@ -5,12 +5,12 @@
 // diagUnspecified is the bib-1 diagnostic of an unspecified error.
 const diagUnspecified = 100
 
-// Context tags of records in a response, and of the encodings of an EXTERNAL.
+// Context tags of the records in a response, and of the encodings of an EXTERNAL.
 const (
 	recordDatabase            = 0
 	recordContent             = 1
-	recordRetrieved           = 1 // within the content
-	recordSurrogateDiagnostic = 2 // within the content: why the record is missing
+	recordRetrieved           = 1 // within recordContent
+	recordSurrogateDiagnostic = 2 // within recordContent: why the record is missing
 	externalSingleType        = 0
 	externalOctets            = 1
 )
@@ -33,7 +33,7 @@
 	}
 }
 
-// ParseDiagnostic reads a DefaultDiagFormat. It returns nil if n is absent or none.
+// ParseDiagnostic decodes a DefaultDiagFormat. It returns nil if n is absent or not a DefaultDiagFormat.
 func ParseDiagnostic(n *Node) *query.Diagnostic {
 	if n == nil || len(n.Children) < 2 {
 		return nil
@@ -45,35 +45,36 @@
 	return d
 }
 
-// externalXML returns an EXTERNAL of XML, as octets.
+// externalXML returns an EXTERNAL that contains XML as octets.
 func externalXML(text string) *Node {
 	return constructed(Universal, tagExternal, OID(Universal, tagOID, OidXML), String(externalOctets, text))
 }
 
-// externalSUTRS returns an EXTERNAL of plain text, as one GeneralString.
+// externalSUTRS returns an EXTERNAL that contains plain text (SUTRS) as one GeneralString.
 func externalSUTRS(text string) *Node {
 	return constructed(Universal, tagExternal,
 		OID(Universal, tagOID, OidSUTRS),
 		Constructed(externalSingleType, primitive(Universal, tagGeneral, []byte(text))))
 }
 
-// parseExternal returns the text of an EXTERNAL, which is octets or one string; empty if n is absent or no EXTERNAL.
+// parseExternal returns the text of an EXTERNAL that contains octets or one string; empty if n is absent or not an
+// EXTERNAL.
 func parseExternal(n *Node) (text string) {
 	if n == nil || n.Class != Universal || n.Tag != tagExternal {
 		return ""
 	}
 	for _, child := range n.Children {
 		switch {
-		case child.is(externalSingleType):
+		case child.hasTag(externalSingleType):
 			text = child.OnlyChild().Text()
-		case child.is(externalOctets):
+		case child.hasTag(externalOctets):
 			text = child.Text()
 		}
 	}
 	return text
 }
 
-// Records returns the field of a response that carries records of a database, in a record syntax: as OidSUTRS, or else as
+// Records returns the response field with records of a database. The record syntax is OidSUTRS or, for any other value,
 // OidXML.
 func Records(database, syntax string, list []query.Record) *Node {
 	records := Constructed(FieldRecords)
@@ -89,14 +90,14 @@
 	return records
 }
 
-// ParseRecords returns the records in a response, and the diagnostic, if there is one, of the response or of the first
-// record that is missing.
+// ParseRecords returns the records in a response and a diagnostic: the one of the complete response or else the first
+// surrogate diagnostic, which replaces a missing record; nil if there is none.
 func ParseRecords(response *Node) (list []query.Record, d *query.Diagnostic) {
 	if d = ParseDiagnostic(response.Child(FieldDiagnostic)); d != nil {
 		return nil, d
 	}
-	if many := response.Child(fieldMultiDiagnostics); many != nil && len(many.Children) > 0 {
-		return nil, ParseDiagnostic(many.Children[0])
+	if diagnostics := response.Child(fieldMultiDiagnostics); diagnostics != nil && len(diagnostics.Children) > 0 {
+		return nil, ParseDiagnostic(diagnostics.Children[0])
 	}
 	records := response.Child(FieldRecords)
 	if records == nil {
@@ -107,7 +108,7 @@
 		if content == nil {
 			continue
 		}
-		if content.is(recordSurrogateDiagnostic) {
+		if content.hasTag(recordSurrogateDiagnostic) {
 			if d == nil {
 				d = ParseDiagnostic(content.OnlyChild())
 			}
--- a/internal/protocol/z3950/rpn.go
+++ b/internal/protocol/z3950/rpn.go
@@ -8,10 +8,10 @@
 	"rooktrestle/internal/query"
 )
 
-// rpnOperators are the operators of a type-1 query by their context tags.
+// rpnOperators contains the operators of a type-1 query, indexed by context tag.
 var rpnOperators = []query.Operator{0: query.And, 1: query.Or, 2: query.Not}
 
-// Diagnostics of queries that cannot be read, in the diagnostic sets of both protocols.
+// Errors of queries that cannot be parsed, with their codes in the diagnostic sets of both SRU and Z39.50.
 
 func malformedQuery(details string) error {
 	return &query.Error{SRU: 10, Bib1: 108, Details: details}
@@ -41,8 +41,8 @@
 	return &query.Error{SRU: 37, Bib1: 110, Details: details}
 }
 
-// EncodeRPN returns a query as a type-1 query (RPN) with attributes of bib-1. The error is a *query.Error if the query
-// cannot be expressed so.
+// EncodeRPN encodes a query as a type-1 query (RPN) with bib-1 attributes. The error is a *query.Error if the query has
+// no such form.
 func EncodeRPN(n query.Node) (*Node, error) {
 	structure, err := rpnStructure(query.ExpandAny(n))
 	if err != nil {
@@ -81,13 +81,13 @@
 	return nil, errors.New("z3950: no such query")
 }
 
-// ParseRPN reads the query field of a search. The error is a *query.Error, which says why the query is rejected.
+// ParseRPN decodes the query field of a Search PDU. The error is a *query.Error with the reason for the rejection.
 func ParseRPN(field *Node) (query.Node, error) {
 	rpn := field.OnlyChild() // the query is a choice inside an explicit tag
 	if rpn == nil {
 		return nil, malformedQuery("no query")
 	}
-	if !rpn.is(queryType1) {
+	if !rpn.hasTag(queryType1) {
 		return nil, unsupportedQueryType("only type 1")
 	}
 	if len(rpn.Children) != 2 {
@@ -107,10 +107,10 @@
 	if depth > query.MaxDepth {
 		return nil, nestedTooDeep()
 	}
-	if structure.is(rpnOperand) {
+	if structure.hasTag(rpnOperand) {
 		return parseOperand(structure.OnlyChild())
 	}
-	if !structure.is(rpnOperation) || len(structure.Children) != 3 {
+	if !structure.hasTag(rpnOperation) || len(structure.Children) != 3 {
 		return nil, malformedQuery("rpn structure")
 	}
 	left, err := parseStructure(structure.Children[0], depth+1)
@@ -130,7 +130,7 @@
 
 func parseOperator(field *Node) (query.Operator, error) {
 	operator := field.OnlyChild()
-	if !field.is(rpnOperator) || operator == nil || operator.Class != Context {
+	if !field.hasTag(rpnOperator) || operator == nil || operator.Class != Context {
 		return "", malformedQuery("operator")
 	}
 	if operator.Tag >= len(rpnOperators) {
@@ -143,10 +143,10 @@
 	if operand == nil {
 		return nil, malformedQuery("operand")
 	}
-	if operand.is(operandResultSet) {
+	if operand.hasTag(operandResultSet) {
 		return &query.ResultSet{Name: operand.Text()}, nil
 	}
-	if !operand.is(operandClause) || len(operand.Children) != 2 || !operand.Children[0].is(clauseAttributes) {
+	if !operand.hasTag(operandClause) || len(operand.Children) != 2 || !operand.Children[0].hasTag(clauseAttributes) {
 		return nil, malformedQuery("operand")
 	}
 	attributes, err := parseAttributes(operand.Children[0])
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	term := operand.Children[1]
-	if !term.is(clauseGeneralTerm) && !term.is(clauseCharacterTerm) {
+	if !term.hasTag(clauseGeneralTerm) && !term.hasTag(clauseCharacterTerm) {
 		return nil, unsupportedTerm()
 	}
 	return query.ClauseFromAttributes(attributes, strings.ToValidUTF8(term.Text(), "\uFFFD"))
--- a/internal/protocol/z3950/tags.go
+++ b/internal/protocol/z3950/tags.go
@@ -11,7 +11,7 @@
 	oidUpdate1  = oidStandard + "9.5.1.1"
 )
 
-// Context tags of the protocol data units.
+// Context tags of the PDUs.
 const (
 	InitRequest     = 20
 	InitResponse    = 21
@@ -21,13 +21,13 @@
 	PresentResponse = 25
 	DeleteRequest   = 26 // of result sets
 	DeleteResponse  = 27
-	TriggerControl  = 32 // triggers resource control, such as a cancellation
+	TriggerControl  = 32 // TriggerResourceControl, such as a cancellation
 	EsRequest       = 46 // extended services
 	EsResponse      = 47
 	ClosePDU        = 48
 )
 
-// Context tags of fields that more than one kind of unit has.
+// Context tags of fields that occur in several types of PDU.
 const (
 	FieldReferenceID      = 2
 	FieldRecordsReturned  = 24
@@ -96,7 +96,7 @@
 	fieldUpdateNotToKeep    = 2 // of a database update: its records
 	fieldUpdateAction       = 1
 	fieldUpdateDatabaseName = 2
-	taskRequest             = 1 // of the task parameters: the task that the origin requests
+	taskRequest             = 1 // esRequest in the task parameters: the task that the origin requests
 	fieldSuppliedID         = 1 // of a record in a database update
 	suppliedIDNumber        = 1
 	suppliedIDString        = 2
@@ -119,7 +119,7 @@
 	attributeValue      = 121
 )
 
-// Reasons of a Close.
+// Values of the reason field of Close.
 const (
 	CloseFinished = 0
 	CloseShutdown = 1
@@ -128,7 +128,7 @@
 	CloseIdle     = 7 // lack of activity
 )
 
-// Options that an association may be opened with, by their bits.
+// Bits of the options that Init negotiates.
 const (
 	OptSearch  = 0
 	OptPresent = 1
--- a/internal/protocol/z3950/update.go
+++ b/internal/protocol/z3950/update.go
@@ -8,34 +8,35 @@
 	"rooktrestle/internal/query"
 )
 
-// Values of fields of a database update.
+// Field values of a database update.
 const (
-	esFunctionCreate = 1 // the task is to be performed
-	esWait           = 1 // the response is sent when the task is finished
+	esFunctionCreate = 1 // create the task package, which performs the task
+	esWait           = 1 // respond when the task is completed
 )
 
-// Diagnostics of database updates that are rejected.
+// Bib-1 diagnostic codes for rejected database updates.
 const (
 	diagUnsupportedPackageType = 221
 	diagUnsupportedFunction    = 223
 	diagMalformedTask          = 228
 )
 
-// updateActions are the actions of a database update by their codes.
+// updateActions maps the action codes of a database update to actions.
 var updateActions = map[int]query.Action{
 	1: query.ActionCreate,
 	2: query.ActionReplace,
 	3: query.ActionDelete,
 }
 
-// UpdateRequest is a database update of one record.
+// UpdateRequest is a decoded database update of one record.
 type UpdateRequest struct {
 	Database string
 	Action   query.Action
 	Record   query.Record
 }
 
-// Update returns the unit of a database update (extended services), whose response comes when the update is finished.
+// Update returns the extended services request for a database update, to which the server responds when the update is
+// completed.
 func Update(reference, database string, action query.Action, record query.Record) *Node {
 	code := 0
 	for number, name := range updateActions {
@@ -60,10 +61,10 @@
 		Integer(fieldEsWaitAction, esWait))
 }
 
-// ParseUpdate reads a database update. The diagnostic is nil if it is one that can be served.
-func ParseUpdate(unit *Node) (UpdateRequest, *query.Diagnostic) {
+// ParseUpdate decodes a database update. The diagnostic is nil if the update is valid and supported.
+func ParseUpdate(pdu *Node) (UpdateRequest, *query.Diagnostic) {
 	var request UpdateRequest
-	toKeep, supplied, problem := updateTask(unit)
+	toKeep, supplied, problem := updateTask(pdu)
 	if problem != nil {
 		return request, problem
 	}
@@ -73,7 +74,7 @@
 	}
 	request.Action = action
 	request.Database = toKeep.Child(fieldUpdateDatabaseName).Text()
-	// One record is one query: the response to several could not say which of them was changed.
+	// Only one record is accepted: the response to an update of several could not report which of them were changed.
 	if len(supplied.Children) != 1 {
 		return request, malformedTask("one record a request")
 	}
@@ -86,22 +87,23 @@
 	return request, nil
 }
 
-// updateTask returns the parts of a database update: action and database, and the list of records.
-func updateTask(unit *Node) (toKeep, supplied *Node, problem *query.Diagnostic) {
-	if unit.Child(fieldEsFunction).IntOr(0) != esFunctionCreate {
+// updateTask returns the two parts of a database update: action and database name (toKeep), and the list of records
+// (supplied).
+func updateTask(pdu *Node) (toKeep, supplied *Node, problem *query.Diagnostic) {
+	if pdu.Child(fieldEsFunction).IntOr(0) != esFunctionCreate {
 		return nil, nil, &query.Diagnostic{Bib1: diagUnsupportedFunction, Details: "function"}
 	}
-	packageType := unit.Child(fieldEsPackageType).OID()
+	packageType := pdu.Child(fieldEsPackageType).OID()
 	if !strings.HasPrefix(packageType, oidUpdate) {
 		return nil, nil, &query.Diagnostic{Bib1: diagUnsupportedPackageType, Details: packageType}
 	}
-	parameters := unit.Child(fieldEsTaskParameters)
-	// The EXTERNAL may stand inside the tag or, with an implicit tag, in its place.
+	parameters := pdu.Child(fieldEsTaskParameters)
+	// The parameters are an EXTERNAL inside an explicit tag or, with implicit tagging, the content of an EXTERNAL.
 	if external := parameters.OnlyChild(); external != nil && external.Class == Universal && external.Tag == tagExternal {
 		parameters = external
 	}
 	task := parameters.Child(externalSingleType).OnlyChild()
-	if task == nil || !task.is(taskRequest) {
+	if task == nil || !task.hasTag(taskRequest) {
 		return nil, nil, malformedTask("task parameters")
 	}
 	toKeep = task.Child(fieldUpdateToKeep)
@@ -109,7 +111,8 @@
 	if toKeep == nil || supplied == nil {
 		return nil, nil, malformedTask("task parameters")
 	}
-	// The sequence of records may stand inside the tag. A single record is a sequence too, of values with context tags.
+	// The list of records may be inside an explicit tag. A single record is a SEQUENCE too, but of values with context
+	// tags.
 	list := explicitSequence(supplied)
 	if !slices.ContainsFunc(list.Children, func(child *Node) bool { return child.Class != Universal }) {
 		supplied = list
@@ -117,10 +120,10 @@
 	return explicitSequence(toKeep), supplied, nil
 }
 
-// suppliedID returns the identifier of a record in a database update, a number or a string.
+// suppliedID returns the identifier of a record in a database update, which is a number or a string.
 func suppliedID(record *Node) string {
 	id := record.Child(fieldSuppliedID).OnlyChild()
-	if id != nil && id.is(suppliedIDNumber) {
+	if id != nil && id.hasTag(suppliedIDNumber) {
 		return strconv.Itoa(id.IntOr(0))
 	}
 	return id.Text()
