--- a/internal/testbed/sim/aggregator.go
+++ b/internal/testbed/sim/aggregator.go
@@ -138,7 +138,7 @@
 		RetryAfter:     time.Second,
 		DeadlineMargin: 20 * time.Millisecond,
 	}
-	h.core = aggregator.NewCore(balancer, h, limits, Start)
+	h.core = aggregator.NewCore(balancer, h, limits, StartTime)
 	h.core.Observer = h
 	if h.world.Gossip {
 		h.core.Gossip = h
--- a/internal/testbed/sim/check.go
+++ b/internal/testbed/sim/check.go
@@ -51,7 +51,7 @@
 		return
 	}
 	text := fmt.Sprintf(format, args...)
-	c.violations = append(c.violations, fmt.Sprintf("%v: %s", c.world.now.Sub(Start), text))
+	c.violations = append(c.violations, fmt.Sprintf("%v: %s", c.world.now.Sub(StartTime), text))
 }
 
 func (c *checker) requestSent(sent *clientRequest, request *aggregator.Request) {
--- a/internal/testbed/sim/client.go
+++ b/internal/testbed/sim/client.go
@@ -39,7 +39,7 @@
 
 // queryArrives sends a new query and schedules the next.
 func (w *world) queryArrives() {
-	if w.now.After(Start.Add(w.Duration)) {
+	if w.now.After(StartTime.Add(w.Duration)) {
 		return
 	}
 	interval := time.Duration(w.rng.ExpFloat64() / w.arrivalRate() * float64(time.Second))
--- a/internal/testbed/sim/clock.go
+++ b/internal/testbed/sim/clock.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start is the first moment of virtual time.
-var Start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// StartTime is the first moment of virtual time.
+var StartTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // event is an action that is due at a moment of virtual time.
 type event struct {
@@ -57,7 +57,7 @@
 
 // newClock returns a clock at Start; recordText also keeps the trace as text.
 func newClock(recordText bool) clock {
-	return clock{now: Start, trace: xxhash.New(), recordText: recordText}
+	return clock{now: StartTime, trace: xxhash.New(), recordText: recordText}
 }
 
 // at schedules an action; a moment that has passed counts as now.
@@ -74,12 +74,12 @@
 
 // record adds an entry to the trace. The texts are part of the trace's hash, which tests and recorded runs compare.
 func (c *clock) record(what string, subject, detail uint64) {
-	c.hashNumber(uint64(c.now.Sub(Start)))
+	c.hashNumber(uint64(c.now.Sub(StartTime)))
 	_, _ = c.trace.WriteString(what) // a hash does not fail
 	c.hashNumber(subject)
 	c.hashNumber(detail)
 	if c.recordText {
-		c.traceText = append(c.traceText, fmt.Sprintf("%v %s %d %d", c.now.Sub(Start), what, subject, detail))
+		c.traceText = append(c.traceText, fmt.Sprintf("%v %s %d %d", c.now.Sub(StartTime), what, subject, detail))
 	}
 }
 
--- a/internal/testbed/sim/fault.go
+++ b/internal/testbed/sim/fault.go
@@ -60,9 +60,9 @@
 	return !now.Before(f.begin()) && now.Before(f.end())
 }
 
-func (f *Fault) begin() time.Time { return Start.Add(f.From) }
+func (f *Fault) begin() time.Time { return StartTime.Add(f.From) }
 
-func (f *Fault) end() time.Time { return Start.Add(f.From + f.Duration) }
+func (f *Fault) end() time.Time { return StartTime.Add(f.From + f.Duration) }
 
 // schedule makes the fault happen in a run. Burst needs nothing: the clients' rate looks it up.
 func (f *Fault) schedule(world *world) {
--- a/internal/testbed/sim/healthchecks.go
+++ b/internal/testbed/sim/healthchecks.go
@@ -12,12 +12,12 @@
 func (h *aggregatorHost) startHealthChecks(servers []health.Server) (err error) {
 	check := health.CheckConfig{Name: "check", Fall: 2, Rise: 1, Validity: 4 * time.Second}
 	defaults := health.Defaults(classCount, 1<<correction)
-	if h.healthTable, err = health.New(defaults, []health.CheckConfig{check}, Start); err != nil {
+	if h.healthTable, err = health.New(defaults, []health.CheckConfig{check}, StartTime); err != nil {
 		return err
 	}
-	h.healthTable.ReplaceEndpoints(Start, servers)
+	h.healthTable.ReplaceEndpoints(StartTime, servers)
 	firstCheck := time.Duration(h.world.rng.Float64() * float64(healthCheckInterval))
-	h.world.at(Start.Add(firstCheck), h.runHealthChecks)
+	h.world.at(StartTime.Add(firstCheck), h.runHealthChecks)
 	return nil
 }
 
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -60,8 +60,8 @@
 	for i := range settings.Faults {
 		settings.Faults[i].schedule(w)
 	}
-	w.at(Start.Add(firstArrival), w.queryArrives)
-	w.run(Start.Add(settings.Duration + maxDeadline + quietPeriod))
+	w.at(StartTime.Add(firstArrival), w.queryArrives)
+	w.run(StartTime.Add(settings.Duration + maxDeadline + quietPeriod))
 	w.checker.checkQuiescence()
 	return w.finalResult(), nil
 }
