--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -180,7 +180,7 @@
 }
 
 func playSeed(day string, seed uint64, options daysOptions) (sim.Result, error) {
-	s, err := sim.DaySettings(day, seed, options.aggregators, options.replicas)
+	s, err := sim.ScenarioSettings(day, seed, options.aggregators, options.replicas)
 	if err != nil {
 		return sim.Result{}, err
 	}
--- a/internal/testbed/sim/days.go
+++ b/internal/testbed/sim/days.go
@@ -23,10 +23,10 @@
 // shards.
 const minSearchParts = 4
 
-// DaySettings draws the settings of a day by its seed: aggregators whose traffic is thin and uneven and who gossip,
+// ScenarioSettings draws the settings of a day by its seed: aggregators whose traffic is thin and uneven and who gossip,
 // replicas that warm up after a start, and endpoint lists from local agents or from one service short of capacity. It
 // fails for a day that is not in DayNames, and for fleets that are too small for a search.
-func DaySettings(kind string, seed uint64, aggregators, replicas int) (Settings, error) {
+func ScenarioSettings(kind string, seed uint64, aggregators, replicas int) (Settings, error) {
 	if !slices.Contains(DayNames, kind) {
 		return Settings{}, fmt.Errorf("day %q: there are %v", kind, DayNames)
 	}
--- a/internal/testbed/sim/days_test.go
+++ b/internal/testbed/sim/days_test.go
@@ -11,7 +11,7 @@
 // loaded plays a day of a small fleet with a multiple of its load.
 func loaded(t *testing.T, kind string, seed uint64, planted Bug, load float64) Result {
 	t.Helper()
-	s, err := DaySettings(kind, seed, 12, 12)
+	s, err := ScenarioSettings(kind, seed, 12, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
