--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -113,10 +113,10 @@
 			"Exit status 1: a rule was broken.",
 		Example: "  testbed days herd split --mixers 300 --nodes 200 --seeds 20\n" +
 			"  testbed days herd --seed 7 --seeds 1 --json",
-		ValidArgs: sim.DayNames,
+		ValidArgs: sim.ScenarioNames,
 		RunE: func(cmd *cobra.Command, names []string) error {
 			if len(names) == 0 {
-				names = sim.DayNames
+				names = sim.ScenarioNames
 			}
 			if options.seeds < 1 {
 				return fmt.Errorf("--seeds at least 1")
--- a/internal/testbed/sim/days.go
+++ b/internal/testbed/sim/days.go
@@ -16,8 +16,8 @@
 	dayJoin  = "join"  // most replicas are replaced
 )
 
-// DayNames are the days that DaySettings draws.
-var DayNames = []string{dayCalm, dayHerd, dayZone, daySplit, dayJoin}
+// ScenarioNames are the days that DaySettings draws.
+var ScenarioNames = []string{dayCalm, dayHerd, dayZone, daySplit, dayJoin}
 
 // minSearchParts is the least number of parts of a search: in the operators' archive a search reads a third of the
 // shards.
@@ -27,8 +27,8 @@
 // replicas that warm up after a start, and endpoint lists from local agents or from one service short of capacity. It
 // fails for a day that is not in DayNames, and for fleets that are too small for a search.
 func ScenarioSettings(kind string, seed uint64, aggregators, replicas int) (Settings, error) {
-	if !slices.Contains(DayNames, kind) {
-		return Settings{}, fmt.Errorf("day %q: there are %v", kind, DayNames)
+	if !slices.Contains(ScenarioNames, kind) {
+		return Settings{}, fmt.Errorf("day %q: there are %v", kind, ScenarioNames)
 	}
 	if aggregators < 2 || replicas < 2*minSearchParts {
 		return Settings{}, fmt.Errorf("%d aggregators, %d replicas: at least 2 and %d",
--- a/internal/testbed/sim/days_test.go
+++ b/internal/testbed/sim/days_test.go
@@ -22,7 +22,7 @@
 
 // No day violates a rule, and each has its faults.
 func TestDays_ViolateNoRule(t *testing.T) {
-	for _, kind := range DayNames {
+	for _, kind := range ScenarioNames {
 		r := fleet(t, kind, 1, "")
 		if len(r.Violations) > 0 {
 			t.Errorf("%s: %d broken, the first %s", kind, len(r.Violations), r.Violations[0])
