--- a/internal/testbed/sim/client.go
+++ b/internal/testbed/sim/client.go
@@ -139,7 +139,7 @@
 	w := c.world
 	q := c.query
 	w.record("answer", uint64(q.number), uint64(answer.Status))
-	if w.PlantedBug == BugDishonestComplete && answer.Status == aggregator.StatusServed {
+	if w.PlantedBug == BugFalseComplete && answer.Status == aggregator.StatusServed {
 		answer.Complete = true
 	}
 	w.checker.requestAnswered(c, answer)
--- a/internal/testbed/sim/settings.go
+++ b/internal/testbed/sim/settings.go
@@ -55,7 +55,7 @@
 	BugDoubleCorrection   Bug = "double correction" // a correction runs twice
 	BugLostQuery          Bug = "lost query"        // an answer reaches nobody
 	BugDrainIgnored       Bug = "drain ignored"     // aggregators are not notified that a replica drains
-	BugDishonestComplete  Bug = "dishonest whole"   // partial answers are marked complete
+	BugFalseComplete      Bug = "dishonest whole"   // partial answers are marked complete
 	BugLeakedAttempt      Bug = "leaked attempt"    // a canceled attempt never ends
 	BugConcurrentAttempts Bug = "second copy"       // a canceled attempt ends before the replica is notified
 	BugWarmupIgnored      Bug = "cold ignored"      // warming replicas get as much as warm ones
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -108,7 +108,7 @@
 		BugDoubleCorrection:   "ran 2 times",
 		BugLostQuery:          "has no final answer",
 		BugDrainIgnored:       "drain or removal was known",
-		BugDishonestComplete:  "marked complete",
+		BugFalseComplete:      "marked complete",
 		BugLeakedAttempt:      "attempts in flight",
 		BugConcurrentAttempts: "two attempts of",
 	} {
