--- a/internal/testbed/sim/aggregator.go
+++ b/internal/testbed/sim/aggregator.go
@@ -169,7 +169,7 @@
 	if h.incarnation > 1 { // a new process has random samples of its own
 		settings.Seed += uint64(h.incarnation) << 32
 	}
-	if w.Warmup.Period > 0 && w.PlantedBug != BugWarmupIgnored {
+	if w.Warmup.Period > 0 && w.InjectedBug != BugWarmupIgnored {
 		settings.Rules = balance.Rules{
 			WarmupPeriod:      w.Warmup.Period,
 			WarmupMinCapacity: w.Warmup.MinCapacity,
@@ -319,7 +319,7 @@
 // endpointPublished takes a change from endpointFeed.
 func (h *aggregatorHost) endpointPublished(r *replica, state balance.EndpointState) {
 	h.applyEndpoint(endpointEntry{replica: r, state: state, started: r.started})
-	if h.world.PlantedBug == BugDrainIgnored && state == balance.Draining {
+	if h.world.InjectedBug == BugDrainIgnored && state == balance.Draining {
 		return
 	}
 	h.post(aggregator.EndpointsChanged{Kind: balance.ListDelta, Servers: []aggregator.Server{h.endpoint(r)}})
--- a/internal/testbed/sim/check.go
+++ b/internal/testbed/sim/check.go
@@ -104,7 +104,7 @@
 	if runs > 1 {
 		c.violate("correction %s ran %d times, now at %s", a.call.Name, runs, r.id)
 	}
-	if c.world.PlantedBug == BugDoubleCorrection && runs == 1 && strings.HasPrefix(queryID, "q7") {
+	if c.world.InjectedBug == BugDoubleCorrection && runs == 1 && strings.HasPrefix(queryID, "q7") {
 		c.world.after(time.Millisecond, func() { c.correctionRan(r, a) })
 	}
 }
--- a/internal/testbed/sim/client.go
+++ b/internal/testbed/sim/client.go
@@ -124,7 +124,7 @@
 	host := w.aggregators[query.aggregator]
 	host.openRequests[c] = true
 	host.post(aggregator.RequestArrived{Request: request})
-	if w.PlantedBug == BugLostQuery && query.number == 50 {
+	if w.InjectedBug == BugLostQuery && query.number == 50 {
 		request.Frontend = discardAnswer{}
 	}
 }
@@ -139,7 +139,7 @@
 	w := c.world
 	q := c.query
 	w.record("answer", uint64(q.number), uint64(answer.Status))
-	if w.PlantedBug == BugFalseComplete && answer.Status == aggregator.StatusServed {
+	if w.InjectedBug == BugFalseComplete && answer.Status == aggregator.StatusServed {
 		answer.Complete = true
 	}
 	w.checker.requestAnswered(c, answer)
--- a/internal/testbed/sim/days_test.go
+++ b/internal/testbed/sim/days_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.PlantedBug = planted
+	s.InjectedBug = planted
 	s.Rate = load * s.Rate / 3
 	return play(t, s)
 }
--- a/internal/testbed/sim/discovery.go
+++ b/internal/testbed/sim/discovery.go
@@ -119,7 +119,7 @@
 
 func newWatcher(d *discoveryService, host *aggregatorHost) *watcher {
 	pollers := 0 // that share the service
-	if d.world.Discovery.Kind == SharedService || d.world.PlantedBug == BugSlowReopen {
+	if d.world.Discovery.Kind == SharedService || d.world.InjectedBug == BugSlowReopen {
 		pollers = d.world.Aggregators
 	}
 	return &watcher{
@@ -229,7 +229,7 @@
 		case w.callNumber != call:
 		case w.schedule.IdleDeadline().After(w.service.world.now):
 			w.scheduleReopen(call)
-		case w.service.world.PlantedBug == BugSlowReopen:
+		case w.service.world.InjectedBug == BugSlowReopen:
 			w.callEnded(call)
 		default:
 			w.open()
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -64,10 +64,10 @@
 	a.abandoned = true
 	canceled := &aggregator.AttemptError{Progress: aggregator.Written, Canceled: true}
 	ended := aggregator.AttemptEnded{Attempt: id, Err: canceled}
-	if h.world.PlantedBug == BugLeakedAttempt && id.Part%5 == 0 {
+	if h.world.InjectedBug == BugLeakedAttempt && id.Part%5 == 0 {
 		return
 	}
-	if h.world.PlantedBug == BugConcurrentAttempts { // it ends before the replica is notified
+	if h.world.InjectedBug == BugConcurrentAttempts { // it ends before the replica is notified
 		h.post(ended)
 		return
 	}
--- a/internal/testbed/sim/settings.go
+++ b/internal/testbed/sim/settings.go
@@ -24,7 +24,7 @@
 	Warmup          Warmup        `json:"Cold"`      // of a replica after its start
 	Discovery       Discovery     `json:"Discovery"` // how aggregators learn of the endpoint list
 	Faults          []Fault       `json:"Troubles"`
-	PlantedBug      Bug           `json:"Planted"` // on purpose, for tests of the checker
+	InjectedBug     Bug           `json:"Planted"` // on purpose, for tests of the checker
 	RecordTrace     bool          `json:"Keep"`    // keep the trace's text
 }
 
--- a/internal/testbed/sim/settings_test.go
+++ b/internal/testbed/sim/settings_test.go
@@ -70,7 +70,7 @@
 	if len(s.Faults) != 1 || s.Faults[0] != want {
 		t.Errorf("%+v", s.Faults)
 	}
-	if s.PlantedBug != BugDrainIgnored {
-		t.Errorf("%q", s.PlantedBug)
+	if s.InjectedBug != BugDrainIgnored {
+		t.Errorf("%q", s.InjectedBug)
 	}
 }
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -113,7 +113,7 @@
 		BugConcurrentAttempts: "two attempts of",
 	} {
 		s := Defaults(3)
-		s.PlantedBug = bug
+		s.InjectedBug = bug
 		s.Faults = []Fault{
 			{Kind: Deploy, From: time.Second, Duration: 6 * time.Second, Replicas: 6},
 			{Kind: Hang, From: 2 * time.Second, Duration: 5 * time.Second, Replicas: 5, First: 6},
@@ -127,7 +127,7 @@
 // A run that violates a rule is shrunk to the fault that it takes.
 func TestShrink_KeepsTheFaultThatViolates(t *testing.T) {
 	s := RandomSettings(5)
-	s.PlantedBug = BugDrainIgnored
+	s.InjectedBug = BugDrainIgnored
 	s.Faults = []Fault{
 		{Kind: SlowReplicas, From: time.Second, Duration: time.Second, Magnitude: 2},
 		{Kind: Deploy, From: time.Second, Duration: 5 * time.Second, Replicas: 4},
