--- a/internal/testbed/resharding/controller.go
+++ b/internal/testbed/resharding/controller.go
@@ -122,8 +122,8 @@
 	return shardmap.Epoch(store.Epoch())
 }
 
-// Start persists a plan, so that a Run carries it out whatever happens.
-func (c *Controller) Start(p *shardmap.Plan) error {
+// PersistPlan persists a plan, so that a Run carries it out whatever happens.
+func (c *Controller) PersistPlan(p *shardmap.Plan) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return err
--- a/internal/testbed/resharding/resharding_test.go
+++ b/internal/testbed/resharding/resharding_test.go
@@ -77,7 +77,7 @@
 func (a *Archive) carryOut(t *testing.T, p *shardmap.Plan, err error) {
 	t.Helper()
 	if err == nil {
-		err = a.Controller.Start(p)
+		err = a.Controller.PersistPlan(p)
 	}
 	if err == nil {
 		err = a.Controller.Run(nil)
@@ -327,7 +327,7 @@
 	for i, plan := range plans {
 		p, err := plan(a.Controller.Map())
 		if err == nil {
-			err = a.Controller.Start(p)
+			err = a.Controller.PersistPlan(p)
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbed/resharding/run.go
+++ b/internal/testbed/resharding/run.go
@@ -268,7 +268,7 @@
 		if plan == nil {
 			continue
 		}
-		if err := a.Controller.Start(plan); err != nil {
+		if err := a.Controller.PersistPlan(plan); err != nil {
 			return done, err
 		}
 		if err := a.Controller.Run(stop); err != nil {
