--- a/cmd/testbed/resharding.go
+++ b/cmd/testbed/resharding.go
@@ -151,14 +151,14 @@
 // playResharding runs the load once, with random plans or without.
 func playResharding(options reshardingOptions, reshard bool) (r reshardingRun, err error) {
 	a, err := resharding.Start(resharding.Options{
-		Seed:              options.seed,
-		ReplicaCount:      options.replicas,
-		ShardCount:        options.shards,
-		FrontendCount:     2,
-		LastFrontendDelay: options.mapDelay,
-		CopiesPerSecond:   50,
-		Records:           120,
-		Delay:             5 * time.Millisecond,
+		Seed:                 options.seed,
+		ReplicaCount:         options.replicas,
+		ShardCount:           options.shards,
+		FrontendCount:        2,
+		LastFrontendMapDelay: options.mapDelay,
+		CopiesPerSecond:      50,
+		Records:              120,
+		Delay:                5 * time.Millisecond,
 		Timing: shardmap.Timing{
 			MapPropagation: 100 * time.Millisecond,
 			MaxQueryTime:   500 * time.Millisecond,
--- a/internal/testbed/resharding/resharding_test.go
+++ b/internal/testbed/resharding/resharding_test.go
@@ -46,11 +46,11 @@
 // runs twice, every complete answer is exact, and what callers are told of corrections is true.
 func TestReshard_UnderLoad(t *testing.T) {
 	a := startArchive(t, Options{
-		Seed:              1,
-		FrontendCount:     2,
-		LastFrontendDelay: 100 * time.Millisecond,
-		CopiesPerSecond:   400,
-		Delay:             5 * time.Millisecond,
+		Seed:                 1,
+		FrontendCount:        2,
+		LastFrontendMapDelay: 100 * time.Millisecond,
+		CopiesPerSecond:      400,
+		Delay:                5 * time.Millisecond,
 	})
 	r, end := a.StartLoad(Load{Rate: 60, Seed: 1})
 	done, err := a.Reshard(nil, 50*time.Millisecond, 24, 1)
@@ -163,11 +163,11 @@
 // nothing new either; with the map it goes on. Nothing runs twice.
 func TestFrontend_LateMap(t *testing.T) {
 	a := startArchive(t, Options{
-		Seed:              4,
-		ReplicaCount:      6,
-		ShardCount:        1,
-		FrontendCount:     2,
-		LastFrontendDelay: time.Second,
+		Seed:                 4,
+		ReplicaCount:         6,
+		ShardCount:           1,
+		FrontendCount:        2,
+		LastFrontendMapDelay: time.Second,
 	})
 	p, err := shardmap.PlanMigration(a.Controller.Map(), 1, []string{"n3", "n4"}, shardmap.Timing{})
 	a.carryOut(t, p, err)
--- a/internal/testbed/resharding/setup.go
+++ b/internal/testbed/resharding/setup.go
@@ -21,18 +21,18 @@
 
 // Options of an archive. It embeds them, so that they can be read later; they do not change.
 type Options struct {
-	Seed              uint64
-	ReplicaCount      int           // every second one speaks Z39.50
-	ShardCount        int           // at the start; each is held by two replicas
-	FrontendCount     int           // aggregators; each gets maps from a source of its own
-	LastFrontendDelay time.Duration // by which the last frontend gets maps late
-	CopiesPerSecond   float64       // chunks copied to joining replicas, all together; 0: defaultCopyRate
-	Records           int
-	PersistMaps       bool // frontends persist the last good map
-	Timing            shardmap.Timing
-	Delay             time.Duration // of an answer
-	Log               slog.Handler
-	ExtraClassConfig  string // more keys of the operators' file, for the class of searches
+	Seed                 uint64
+	ReplicaCount         int           // every second one speaks Z39.50
+	ShardCount           int           // at the start; each is held by two replicas
+	FrontendCount        int           // aggregators; each gets maps from a source of its own
+	LastFrontendMapDelay time.Duration // by which the last frontend gets maps late
+	CopiesPerSecond      float64       // chunks copied to joining replicas, all together; 0: defaultCopyRate
+	Records              int
+	PersistMaps          bool // frontends persist the last good map
+	Timing               shardmap.Timing
+	Delay                time.Duration // of an answer
+	Log                  slog.Handler
+	ExtraClassConfig     string // more keys of the operators' file, for the class of searches
 }
 
 // Archive is a running archive whose shards change.
@@ -197,14 +197,14 @@
 
 // publish passes a map to every source, to the last one late.
 func (a *Archive) publish(epoch uint64, text []byte) {
-	delaysLast := a.LastFrontendDelay > 0 && epoch > 1
+	delaysLast := a.LastFrontendMapDelay > 0 && epoch > 1
 	for i, source := range a.Sources {
 		isLast := i > 0 && i == len(a.Sources)-1
 		if !isLast || !delaysLast {
 			source.Publish(epoch, text)
 			continue
 		}
-		timer := time.AfterFunc(a.LastFrontendDelay, func() { source.Publish(epoch, text) })
+		timer := time.AfterFunc(a.LastFrontendMapDelay, func() { source.Publish(epoch, text) })
 		a.delayed = append(a.delayed, timer)
 	}
 }
