--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -15,20 +15,20 @@
 
 // Mix has the weights of the kinds of calls. Those of Z39.50 begin with Z.
 type Mix struct {
-	Searches     float64
-	ZSearches    float64
-	Reports      float64
-	Corrections  float64
-	ZCorrections float64
+	Searches      float64
+	Z3950Searches float64
+	Reports       float64
+	Corrections   float64
+	ZCorrections  float64
 }
 
 // DefaultMix is the archive's mix of classes over both protocols.
 var DefaultMix = Mix{
-	Searches:     0.4,
-	ZSearches:    0.15,
-	Reports:      0.23,
-	Corrections:  0.15,
-	ZCorrections: 0.07,
+	Searches:      0.4,
+	Z3950Searches: 0.15,
+	Reports:       0.23,
+	Corrections:   0.15,
+	ZCorrections:  0.07,
 }
 
 // Plan describes a run.
@@ -221,8 +221,8 @@
 func (p Plan) pick(rng *rand.Rand) string {
 	mix := p.Mix
 	if p.Z3950 == "" {
-		mix.Searches += mix.ZSearches
-		mix.ZSearches = 0
+		mix.Searches += mix.Z3950Searches
+		mix.Z3950Searches = 0
 		mix.Corrections += mix.ZCorrections
 		mix.ZCorrections = 0
 	}
@@ -231,12 +231,12 @@
 		kind   string
 	}{
 		{mix.Searches, kindSearch},
-		{mix.ZSearches, kindZ3950Search},
+		{mix.Z3950Searches, kindZ3950Search},
 		{mix.Reports, kindReport},
 		{mix.Corrections, kindCorrection},
 		{mix.ZCorrections, kindZ3950Correction},
 	}
-	x := rng.Float64() * (mix.Searches + mix.ZSearches + mix.Reports + mix.Corrections + mix.ZCorrections)
+	x := rng.Float64() * (mix.Searches + mix.Z3950Searches + mix.Reports + mix.Corrections + mix.ZCorrections)
 	for _, k := range kinds {
 		if x < k.weight {
 			return k.kind
