--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -15,20 +15,20 @@
 
 // Mix has the weights of the kinds of calls. Those of Z39.50 begin with Z.
 type Mix struct {
-	Searches      float64
-	Z3950Searches float64
-	Reports       float64
-	Corrections   float64
-	ZCorrections  float64
+	Searches         float64
+	Z3950Searches    float64
+	Reports          float64
+	Corrections      float64
+	Z3950Corrections float64
 }
 
 // DefaultMix is the archive's mix of classes over both protocols.
 var DefaultMix = Mix{
-	Searches:      0.4,
-	Z3950Searches: 0.15,
-	Reports:       0.23,
-	Corrections:   0.15,
-	ZCorrections:  0.07,
+	Searches:         0.4,
+	Z3950Searches:    0.15,
+	Reports:          0.23,
+	Corrections:      0.15,
+	Z3950Corrections: 0.07,
 }
 
 // Plan describes a run.
@@ -223,8 +223,8 @@
 	if p.Z3950 == "" {
 		mix.Searches += mix.Z3950Searches
 		mix.Z3950Searches = 0
-		mix.Corrections += mix.ZCorrections
-		mix.ZCorrections = 0
+		mix.Corrections += mix.Z3950Corrections
+		mix.Z3950Corrections = 0
 	}
 	kinds := [...]struct {
 		weight float64
@@ -234,9 +234,9 @@
 		{mix.Z3950Searches, kindZ3950Search},
 		{mix.Reports, kindReport},
 		{mix.Corrections, kindCorrection},
-		{mix.ZCorrections, kindZ3950Correction},
+		{mix.Z3950Corrections, kindZ3950Correction},
 	}
-	x := rng.Float64() * (mix.Searches + mix.Z3950Searches + mix.Reports + mix.Corrections + mix.ZCorrections)
+	x := rng.Float64() * (mix.Searches + mix.Z3950Searches + mix.Reports + mix.Corrections + mix.Z3950Corrections)
 	for _, k := range kinds {
 		if x < k.weight {
 			return k.kind
