--- a/internal/testbed/ber/ber.go
+++ b/internal/testbed/ber/ber.go
@@ -1,6 +1,6 @@
-// Package ber is the testbed's own BER and Z39.50: what stand-ins of targets and origins need, after the public
-// specification (Z39.50-2003, ISO 23950). It shares no code with the program, so that a mistake in it is not made
-// twice.
+// Package ber implements the parts of BER and Z39.50 that stand-in targets and origins need, from the public
+// specification (Z39.50-2003, ISO 23950). It shares no code with the program, so that a mistake in the program is not
+// repeated in its tests.
 package ber
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// TLV is one value.
+// TLV is one BER value: tag, length and contents.
 type TLV struct {
 	Class       int
 	Tag         int
@@ -21,20 +21,20 @@
 	Children    []TLV
 }
 
-// maxLength bounds a value that is read, in bytes.
+// maxLength is the maximum length in bytes of a value that Read accepts.
 const maxLength = 1 << 20
 
-// classContext is the class of context-specific tags.
+// classContext is the tag class of context-specific tags.
 const classContext = 2
 
 // Bits of a tag's first byte.
 const (
 	contextBits    = classContext << 6
 	constructedBit = 0x20
-	longTag        = 0x1f // the tag is in the bytes that follow
+	longTag        = 0x1f // the tag number is in the bytes that follow
 )
 
-// Child is the first child with a context-specific tag; its Tag is -1 if there is none.
+// Child returns the first child with a context-specific tag. If there is none, the result's Tag is -1.
 func (v TLV) Child(tag int) TLV {
 	for _, child := range v.Children {
 		if child.Class == classContext && child.Tag == tag {
@@ -44,7 +44,7 @@
 	return TLV{Tag: -1}
 }
 
-// Int reads the body as an unsigned number.
+// Int decodes the body as an unsigned integer.
 func (v TLV) Int() (n int) {
 	for _, b := range v.Body {
 		n = n<<8 | int(b)
@@ -52,7 +52,7 @@
 	return n
 }
 
-// Read reads one value with all its children. The error is io.EOF if there is none.
+// Read reads one value with all its children. It returns io.EOF if the input ends before the value.
 func Read(r *bufio.Reader) (v TLV, err error) {
 	first, err := r.ReadByte()
 	if err != nil {
@@ -78,7 +78,7 @@
 	return v, err
 }
 
-// readLongTag reads a tag of several bytes, of which the first has been read.
+// readLongTag reads the remaining bytes of a tag of several bytes.
 func readLongTag(r *bufio.Reader) (tag int, err error) {
 	for b := byte(0x80); b&0x80 != 0; {
 		if b, err = r.ReadByte(); err != nil {
@@ -106,12 +106,12 @@
 		}
 	}
 	if length < 0 || length > maxLength {
-		return 0, errors.New("ber: too long")
+		return 0, fmt.Errorf("ber: length %d is not within 0 to %d", length, maxLength)
 	}
 	return length, nil
 }
 
-// readAll reads the values that a body consists of.
+// readAll reads all values of a body.
 func readAll(body []byte) (list []TLV, err error) {
 	reader := bufio.NewReader(bytes.NewReader(body))
 	for {
@@ -126,7 +126,7 @@
 	}
 }
 
-// encode encodes a value. A tag that is not negative is context-specific; a negative one is the universal tag of its
+// encode encodes a value. A non-negative tag is context-specific; a negative tag stands for the universal tag with its
 // absolute value. form is constructedBit, or 0 for a primitive value.
 func encode(tag int, form byte, body string) string {
 	first := form | contextBits
@@ -154,7 +154,7 @@
 	return string([]byte{0x82, byte(length >> 8), byte(length)})
 }
 
-// Constructed encodes a constructed value of encoded parts.
+// Constructed encodes a constructed value from its encoded parts.
 func Constructed(tag int, parts ...string) string {
 	return encode(tag, constructedBit, strings.Join(parts, ""))
 }
@@ -162,7 +162,7 @@
 // Primitive encodes a primitive value.
 func Primitive(tag int, body string) string { return encode(tag, 0, body) }
 
-// Integer encodes a number of at most 15 bits.
+// Integer encodes a non-negative number of at most 15 bits.
 func Integer(tag, n int) string {
 	return encode(tag, 0, string([]byte{byte(n >> 8 & 0x7f), byte(n)}))
 }
@@ -179,7 +179,7 @@
 	ExtendedServicesResponse = 47
 )
 
-// Object identifiers, as their bytes.
+// Object identifiers, as their encoded contents.
 const (
 	OIDBib1        = "\x2a\x86\x48\xce\x13\x03\x01"         // 1.2.840.10003.3.1
 	OIDDiagnostics = "\x2a\x86\x48\xce\x13\x04\x01"         // 1.2.840.10003.4.1
@@ -188,7 +188,7 @@
 	OIDMARC        = "\x2a\x86\x48\xce\x13\x05\x0a"         // 1.2.840.10003.5.10
 )
 
-// FormatQuery formats a Type-1 query in prefix notation.
+// FormatQuery formats a Type-1 query as text, with its operators in prefix notation.
 func FormatQuery(v TLV) string {
 	if v.Tag == 0 {
 		return formatOperand(v.Children[0])
@@ -209,7 +209,7 @@
 	return text + string(v.Child(45).Body)
 }
 
-// InitAPDU is an Init request of version 3; user, if not empty, is its authentication.
+// InitAPDU encodes an Init request of version 3; user, if not empty, is sent as its authentication.
 func InitAPDU(user string) string {
 	auth := ""
 	if user != "" {
@@ -223,21 +223,21 @@
 		auth)
 }
 
-// TermOperand is an operand of a query: a term with a Bib-1 use attribute.
+// TermOperand encodes a query operand that is a term with a Bib-1 use attribute.
 func TermOperand(use int, text string) string {
 	attribute := Constructed(-16, Integer(120, 1), Integer(121, use))
 	return Constructed(0, Constructed(102, Constructed(44, attribute), Primitive(45, text)))
 }
 
-// ResultSetOperand is an operand of a query: a result set.
+// ResultSetOperand encodes a query operand that refers to a result set.
 func ResultSetOperand(name string) string { return Constructed(0, Primitive(31, name)) }
 
-// CombineOperands combines two operands by an operator: 0 and, 1 or, 2 and-not.
+// CombineOperands encodes two operands combined by an operator: 0 is and, 1 is or, 2 is and-not.
 func CombineOperands(operator int, left, right string) string {
 	return Constructed(1, left, right, Constructed(46, Primitive(operator, "")))
 }
 
-// SearchAPDU is a search of a database into a result set.
+// SearchAPDU encodes a search of a database that creates a result set.
 func SearchAPDU(set, base, rpn string) string {
 	return Constructed(SearchRequest,
 		Primitive(2, "r-"+set),
@@ -250,7 +250,7 @@
 		Constructed(21, Constructed(1, Primitive(-6, OIDBib1), rpn)))
 }
 
-// PresentAPDU requests n records of a result set from the one numbered start on.
+// PresentAPDU encodes a Present request for n records of a result set, beginning with record number start.
 func PresentAPDU(set string, start, n int) string {
 	return Constructed(PresentRequest,
 		Primitive(31, set),
@@ -259,7 +259,7 @@
 		Primitive(104, OIDXML))
 }
 
-// UpdateAPDU changes a record of the database captions.
+// UpdateAPDU encodes an update of a record in the database captions.
 func UpdateAPDU(id string) string {
 	record := Constructed(4, Constructed(-8, Primitive(-6, OIDXML), Primitive(1, "<line/>")))
 	toKeep := Constructed(1, Integer(1, 2), Primitive(2, "captions"))
@@ -273,7 +273,7 @@
 		Integer(11, 1))
 }
 
-// DiagnosticCode is the Bib-1 diagnostic of a response; 0 if it has none.
+// DiagnosticCode returns the Bib-1 diagnostic code of a response, or 0 if it has none.
 func DiagnosticCode(v TLV) int {
 	if ofSearch := v.Child(130); ofSearch.Tag == 130 {
 		return ofSearch.Children[1].Int()
