--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -1,5 +1,5 @@
-// Package client has the testbed's own clients: of SRU over the standard library's HTTP, of Z39.50 over the testbed's
-// own BER, and of the health protocols. They share no code with the program.
+// Package client implements the testbed's clients: SRU over the standard library's HTTP client, Z39.50 over the
+// testbed's BER package, and the health protocols. They share no code with the program.
 package client
 
 import (
@@ -16,19 +16,19 @@
 	"rooktrestle/internal/testbed/ber"
 )
 
-// Outcome of one call, as its client sees it.
+// Outcome is the outcome of one call, as its client sees it.
 type Outcome int
 
 // The outcomes of calls.
 const (
-	Complete     Outcome = iota // an answer that has every part
-	Partial                     // an answer that says that parts are missing
-	Rejected                    // nothing was executed: a retry is harmless
+	Complete     Outcome = iota // an answer with every part
+	Partial                     // an answer that reports missing parts
+	Rejected                    // rejected before any effect: a retry is safe
 	Failed                      // an answer that reports a failure
-	Disconnected                // no answer: the connection ended, or the call timed out
+	Disconnected                // no answer: the connection was closed, or the call timed out
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"complete", "partial", "rejected", "failed", "disconnected"}[o]
 }
@@ -39,7 +39,7 @@
 	http *http.Client
 }
 
-// NewSRU returns a client whose calls give up after timeout.
+// NewSRU returns a client of the server at addr; timeout applies to each call.
 func NewSRU(addr string, timeout time.Duration) *SRU {
 	dialer := &net.Dialer{Timeout: timeout}
 	transport := &http.Transport{
@@ -52,10 +52,10 @@
 	}
 }
 
-// Close ends idle connections.
+// Close closes the idle connections.
 func (c *SRU) Close() { c.http.CloseIdleConnections() }
 
-// SearchURL is the URL of a search.
+// SearchURL returns the URL of a search.
 func (c *SRU) SearchURL(base, cql string) string {
 	parameters := url.Values{
 		"operation":      {"searchRetrieve"},
@@ -78,7 +78,7 @@
 	return outcomeOf(resp, err, "<operationStatus>success<")
 }
 
-// outcomeOf reads a response; success is the text that a complete answer has.
+// outcomeOf reads a response and classifies it; success is a text that every complete answer contains.
 func outcomeOf(resp *http.Response, err error, success string) Outcome {
 	if err != nil {
 		return Disconnected
@@ -100,7 +100,7 @@
 	return Complete
 }
 
-// UpdateXML is the body of a record update.
+// UpdateXML returns the body of a record update.
 func UpdateXML(id string) string {
 	return `<updateRequest xmlns="http://www.loc.gov/zing/srw/update/"><version>1.0</version>` +
 		`<action>info:srw/action/1/replace</action>` +
@@ -108,10 +108,10 @@
 		`<record><recordPacking>xml</recordPacking><recordData><line/></recordData></record></updateRequest>`
 }
 
-// Values of Z39.50 that the client sends or gets.
+// Z39.50 values that the client sends or receives.
 const (
 	useTitle = 4 // Bib-1 use attribute
-	taskDone = 1 // status of an extended service's task
+	taskDone = 1 // task status of an extended service
 )
 
 // Bib-1 diagnostics.
@@ -121,14 +121,15 @@
 	validSubsetAvailable = 33
 )
 
-// Origin is a Z39.50 client with one association. One goroutine uses it.
+// Origin is a Z39.50 client with one association. It is not safe for concurrent use.
 type Origin struct {
 	conn    net.Conn
 	reader  *bufio.Reader
 	timeout time.Duration
 }
 
-// Dial opens an association; user, if not empty, is its authentication. Each wait for an answer ends after timeout.
+// Dial opens an association; user, if not empty, is sent as its authentication. timeout applies to connecting and to
+// each round trip.
 func Dial(addr, user string, timeout time.Duration) (*Origin, error) {
 	o, err := DialWithoutInit(addr, timeout)
 	if err != nil {
@@ -136,7 +137,7 @@
 	}
 	response, err := o.RoundTrip(ber.InitAPDU(user))
 	if err == nil && !initAccepted(response) {
-		err = fmt.Errorf("init: rejected, APDU %d", response.Tag)
+		err = fmt.Errorf("init rejected by %s: the response APDU has tag %d", addr, response.Tag)
 	}
 	if err != nil {
 		o.Close()
@@ -150,7 +151,7 @@
 	return response.Tag == ber.InitResponse && len(result) == 1 && result[0] != 0
 }
 
-// DialWithoutInit opens a connection without Init.
+// DialWithoutInit opens a connection without sending Init.
 func DialWithoutInit(addr string, timeout time.Duration) (*Origin, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -159,16 +160,16 @@
 	return &Origin{conn: conn, reader: bufio.NewReader(conn), timeout: timeout}, nil
 }
 
-// Send sends an APDU and reads nothing.
+// Send sends an APDU without waiting for a response.
 func (o *Origin) Send(apdu string) error {
 	_, err := io.WriteString(o.conn, apdu)
 	return err
 }
 
 // Close ends the association by closing its connection.
-func (o *Origin) Close() { _ = o.conn.Close() } // nothing is lost with it
+func (o *Origin) Close() { _ = o.conn.Close() } // no written data depends on it
 
-// RoundTrip sends an APDU and reads one.
+// RoundTrip sends an APDU and reads the response APDU.
 func (o *Origin) RoundTrip(apdu string) (ber.TLV, error) {
 	if err := o.conn.SetDeadline(time.Now().Add(o.timeout)); err != nil {
 		return ber.TLV{}, err
@@ -213,9 +214,9 @@
 	return Complete
 }
 
-// AgentCheck makes an agent-check and returns the agent's line, which is empty if the agent closed without one. send,
-// if not empty, is sent first.
-func AgentCheck(addr, send string, timeout time.Duration) (string, error) {
+// AgentCheck performs an agent-check and returns the agent's line, which is empty if the agent closed the connection
+// without sending one. greeting, if not empty, is sent first.
+func AgentCheck(addr, greeting string, timeout time.Duration) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return "", err
@@ -224,14 +225,14 @@
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return "", err
 	}
-	if send != "" {
-		_, _ = io.WriteString(conn, send) // the agent may have answered and closed already
+	if greeting != "" {
+		_, _ = io.WriteString(conn, greeting) // the agent may have answered and closed already
 	}
 	text, err := io.ReadAll(conn)
 	return strings.TrimSpace(string(text)), err
 }
 
-// Get gets a page over HTTP on a connection of its own.
+// Get fetches a page over HTTP on a new connection.
 func Get(rawURL string, timeout time.Duration) (status int, header http.Header, body string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
