--- a/internal/testbed/leakcheck/leakcheck.go
+++ b/internal/testbed/leakcheck/leakcheck.go
@@ -1,4 +1,4 @@
-// Package leakcheck fails the tests of a package that leave goroutines behind. Only tests import it.
+// Package leakcheck detects goroutines that the tests of a package leak. Only tests import it.
 package leakcheck
 
 import (
@@ -7,11 +7,11 @@
 	"go.uber.org/goleak"
 )
 
-// netpollPoller runs for as long as the process: netpoll starts its pollers once and never ends them.
+// netpollPoller is the function of netpoll's pollers, which are started once and run until the process exits.
 const netpollPoller = "github.com/cloudwego/netpoll.(*defaultPoll).Wait"
 
-// Main runs a package's tests and exits the process, with a failure if a goroutine is left that is none of netpoll's
-// pollers. A package's TestMain calls it.
+// Main runs the tests of a package and exits the process. It fails if goroutines other than netpoll's pollers remain.
+// TestMain calls it.
 func Main(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(netpollPoller))
 }
