--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -1,5 +1,5 @@
-// Package invariants evaluates what stand-in replicas recorded: corrections that ran twice, parts that were sent to a
-// replica after it began to drain, and which fraction of the traffic each replica got.
+// Package invariants evaluates the events that stand-in replicas recorded: corrections that ran twice, parts that
+// reached a replica after it began to drain, and the fraction of the traffic that each replica received.
 package invariants
 
 import (
@@ -10,10 +10,11 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// DuplicateCorrections lists the corrections that began more than once.
+// DuplicateCorrections lists the corrections that were begun more than once.
 func DuplicateCorrections(a *replica.Archive) []string { return Duplicates(a.CorrectionCounts()) }
 
-// Duplicates lists the corrections that ran more than once, by how often each ran, sorted by identifier.
+// Duplicates lists the corrections with more than one run, sorted by identifier. runs is the number of runs by
+// identifier.
 func Duplicates(runs map[string]int) (list []string) {
 	for id, count := range runs {
 		if count > 1 {
@@ -24,8 +25,8 @@
 	return list
 }
 
-// PartsAfter lists the parts whose first byte reached a replica later than limit after a moment, and how long after the
-// moment the last part of all did.
+// PartsAfter returns the parts whose first byte reached a replica more than limit after a moment, and the time from the
+// moment to the last part, overdue or not.
 func PartsAfter(
 	a *replica.Archive, name string, moment time.Time, limit time.Duration,
 ) (overdue []replica.Event, last time.Duration) {
@@ -42,7 +43,8 @@
 	return overdue, last
 }
 
-// TrafficFraction is the fraction of the parts between two moments that one replica got, and how many parts there were.
+// TrafficFraction returns the fraction of the parts between two moments that one replica received, and the number of
+// parts that all replicas received.
 func TrafficFraction(a *replica.Archive, name string, from, to time.Time) (fraction float64, total int) {
 	ofReplica := 0
 	for _, event := range a.Events(from) {
