--- a/internal/testbed/replica/agent.go
+++ b/internal/testbed/replica/agent.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// AgentBehavior is how an agent answers an agent-check.
+// AgentBehavior selects how an agent answers an agent-check.
 type AgentBehavior int
 
 // The behaviors of agents.
@@ -17,9 +17,9 @@
 	Respond       AgentBehavior = iota // sends its line at once, reads nothing and closes
 	RespondToSend                      // reads what the check sends first, then sends its line and closes
 	Hang                               // accepts and sends nothing
-	Drip                               // a byte a second, and never the end of a line
-	Flood                              // a megabyte without the end of a line
-	CloseAtOnce                        // closes without a byte
+	Drip                               // sends a byte per second, and never the end of a line
+	Flood                              // sends a megabyte without the end of a line
+	CloseAtOnce                        // closes without sending anything
 )
 
 const (
@@ -27,19 +27,19 @@
 	dripBytes    = 600
 )
 
-// Agent is a stand-in of the server side of agent-checks. Its methods are safe for concurrent use.
+// Agent is a stand-in for the server side of agent-checks. Its methods are safe for concurrent use.
 type Agent struct {
 	ln          net.Listener
 	mu          sync.Mutex
 	line        string
 	behavior    AgentBehavior
-	received    []string // what checks sent to RespondToSend
+	received    []string // what checks sent, with RespondToSend
 	announcedAt time.Time
 	done        chan struct{}
 	once        sync.Once
 }
 
-// NewAgent starts an agent that responds with line, on a port of its own.
+// NewAgent starts an agent that responds with line, on a free port of loopback.
 func NewAgent(line string) (*Agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,14 +61,14 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
-// Close ends it: connections are refused from then on. It may be called more than once.
+// Close stops the agent: further connections are refused. It may be called more than once.
 func (a *Agent) Close() {
 	a.once.Do(func() {
 		close(a.done)
-		_ = a.ln.Close() // nothing is lost with it
+		_ = a.ln.Close() // no connection depends on it
 	})
 }
 
@@ -79,23 +79,23 @@
 	a.line, a.behavior, a.announcedAt = line, behavior, time.Time{}
 }
 
-// AnnouncedAt is when the present line was first sent; zero if it was not.
+// AnnouncedAt returns when the current line was first sent, or the zero time if it was not sent yet.
 func (a *Agent) AnnouncedAt() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.announcedAt
 }
 
-// Received is what checks sent before the agent responded, with the behavior RespondToSend.
+// Received returns what checks sent before the agent responded, with the behavior RespondToSend.
 func (a *Agent) Received() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.received)
 }
 
-// answer answers one check. The other side may close at any moment, so that errors of writing have no meaning here.
+// answer answers one check. The other side may close the connection at any time, so write errors are ignored.
 func (a *Agent) answer(c net.Conn) {
-	defer func() { _ = c.Close() }() // the connection is over either way
+	defer func() { _ = c.Close() }() // the connection is closed or broken in any case
 	a.mu.Lock()
 	line, behavior := a.line, a.behavior
 	a.mu.Unlock()
@@ -129,20 +129,20 @@
 	}
 }
 
-// receive reads what the check sends first. It waits for that, however late it comes: an agent that answered and closed
-// before would reset the connection under the check's bytes.
+// receive reads what the check sends first. It waits without a timeout: closing the connection before the check's bytes
+// have been read would reset it.
 func (a *Agent) receive(c net.Conn) {
 	sent := make([]byte, 256)
 	n, err := c.Read(sent)
 	if err != nil {
-		return // the check has closed
+		return // the check has closed the connection
 	}
 	a.mu.Lock()
 	a.received = append(a.received, string(sent[:n]))
 	a.mu.Unlock()
 }
 
-// respond sends the line.
+// respond sends the line, and records when it was first sent.
 func (a *Agent) respond(c net.Conn, line string) {
 	_, _ = io.WriteString(c, line+"\n")
 	a.mu.Lock()
@@ -152,11 +152,11 @@
 	}
 }
 
-// waitForClose reads until the other side closes, or the agent does.
+// waitForClose reads until the other side closes the connection or the agent is closed.
 func (a *Agent) waitForClose(c net.Conn) {
 	go func() {
 		<-a.done
 		_ = c.Close() // ends the copy below
 	}()
-	_, _ = io.Copy(io.Discard, c) // until the connection ends, in whatever way
+	_, _ = io.Copy(io.Discard, c) // until the connection is closed or broken
 }
--- a/internal/testbed/replica/archive.go
+++ b/internal/testbed/replica/archive.go
@@ -1,6 +1,6 @@
-// Package replica has stand-ins of archive replicas, of SRU 1.2 with its record update and of Z39.50, after the public
-// specifications, with injected faults and with health checks that need not tell the truth. They share no code with the
-// program, so that a mistake in it is not made twice.
+// Package replica implements stand-ins for archive replicas, with SRU 1.2 and its record update and with Z39.50, from
+// the public specifications. They can inject faults, and their health checks can give false reports. They share no code
+// with the program, so that a mistake in the program is not repeated in its tests.
 package replica
 
 import (
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Faults: what a replica does with a part in place of serving it. An empty string means that it serves the part.
+// Faults: what a replica does with a part instead of serving it. An empty string means that it serves the part.
 const (
 	FaultHang    = "hang"   // no answer until the client closes the connection
-	FaultBreak   = "break"  // the connection breaks
+	FaultBreak   = "break"  // the connection is closed without an answer
 	FaultReject  = "reject" // a correction fails
-	FaultError   = "error"  // it fails at once
-	FaultCorrupt = "spoil"  // the answer is noise
+	FaultError   = "error"  // the part fails immediately
+	FaultCorrupt = "spoil"  // the answer is corrupt
 )
 
-// Event is one part as a replica saw it.
+// Event is one part that a replica received.
 type Event struct {
-	At           time.Time // its first byte, or the end of its head where only that is known
+	At           time.Time // of its first byte; for SRU of the end of the request's header
 	Replica      string
 	IsCorrection bool
 	Database     string // of searches
@@ -30,15 +30,15 @@
 	Fault        string // in place of an answer; empty: it was served
 }
 
-// Archive is what the replicas of one test hold, and all that they saw. It is safe for concurrent use, but for the
-// fields that are set before the replicas start.
+// Archive stores the records of the replicas of one test, and records the parts that they receive. It is safe for
+// concurrent use, except for the exported fields, which are set before the replicas start.
 type Archive struct {
-	// OnCorrection and OnSearch, if set, choose what a replica does with a correction and with a search of a
-	// database: one of the faults, or empty to serve it.
+	// OnCorrection and OnSearch, if set, choose the fault of a correction and of a search of a database; empty: the
+	// replica serves it.
 	OnCorrection func(replica, id string) string
 	OnSearch     func(database string) string
-	// CorrectionBegun and ClientLeft, if set, get the replica's name for each correction that begins, and for each
-	// client that closes its connection to a hanging replica. Replicas block until the name is received.
+	// CorrectionBegun and ClientLeft, if set, receive the replica's name for each correction that begins, and for each
+	// client that disconnects from a replica that does not answer. Replicas block until the name is received.
 	CorrectionBegun chan string
 	ClientLeft      chan string
 
@@ -51,7 +51,7 @@
 	closeOnce   sync.Once
 }
 
-// NewArchive returns an archive of so many shards, each with one record.
+// NewArchive returns an archive with a number of shards, each with one record.
 func NewArchive(shards int) *Archive {
 	a := &Archive{
 		corrections: map[string]int{},
@@ -66,24 +66,24 @@
 	return a
 }
 
-// Close lets hanging replicas go on. It may be called more than once.
+// Close releases the requests that replicas leave unanswered. It may be called more than once.
 func (a *Archive) Close() { a.closeOnce.Do(func() { close(a.release) }) }
 
-// CorrectionCounts are how often each correction was begun, by its record. The caller owns the map.
+// CorrectionCounts returns how often each correction was begun, by its record. The caller owns the map.
 func (a *Archive) CorrectionCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.corrections)
 }
 
-// Queries are the searches as each replica understood them, with the replica's name in front.
+// Queries returns the searches as the replicas parsed them, each after the replica's name.
 func (a *Archive) Queries() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.queries)
 }
 
-// Events are the parts seen from a moment on.
+// Events returns the parts that were received at or after a moment.
 func (a *Archive) Events(since time.Time) (list []Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +101,8 @@
 	a.events = append(a.events, e)
 }
 
-// beginCorrection counts a correction and returns the fault that it meets; injected is the replica's own.
+// beginCorrection counts a correction and returns its fault: injected, which the replica has drawn, or else that of
+// OnCorrection.
 func (a *Archive) beginCorrection(s *Server, at time.Time, id, injected string) (fault string) {
 	a.mu.Lock()
 	a.corrections[id]++
@@ -118,8 +119,8 @@
 	return fault
 }
 
-// beginSearch notes a search and returns the database's record and the fault that the search meets; injected is the
-// replica's own.
+// beginSearch records a search and returns the database's record and the fault of the search: injected, which the
+// replica has drawn, or else that of OnSearch.
 func (a *Archive) beginSearch(s *Server, at time.Time, database, query, injected string) (record, fault string) {
 	a.mu.Lock()
 	a.queries = append(a.queries, s.Name+" "+query)
@@ -141,7 +142,7 @@
 	a.OnSearch = choose
 }
 
-func (a *Archive) clientLeft(name string) {
+func (a *Archive) reportDisconnect(name string) {
 	if a.ClientLeft != nil {
 		a.ClientLeft <- name
 	}
--- a/internal/testbed/replica/replica.go
+++ b/internal/testbed/replica/replica.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// Faults are the faults that a replica injects. Rates are fractions of the parts, drawn from the replica's own random
-// stream.
+// Faults configures the faults that a replica injects. Rates are fractions of the parts, drawn from the replica's
+// random stream.
 type Faults struct {
-	ErrorRate    float64       // parts that fail at once
-	ResetRate    float64       // parts whose connection breaks after they have begun
-	CorruptRate  float64       // parts that are answered with noise
+	ErrorRate    float64       // parts that fail immediately
+	ResetRate    float64       // parts whose connection is closed after they have begun
+	CorruptRate  float64       // parts with a corrupt answer
 	HangRate     float64       // parts without an answer
 	Delay        time.Duration // before each answer
-	Jitter       time.Duration // up to this much is added to Delay, drawn evenly
-	WarmupPeriod time.Duration // after a start: answers take up to four times as long
-	Cores        int           // parts served at once; 0: any number
+	Jitter       time.Duration // maximum addition to Delay, drawn uniformly
+	WarmupPeriod time.Duration // after a start, in which Delay and Jitter are up to four times as long
+	Cores        int           // parts served concurrently; 0: any number
 	InitDelay    time.Duration // before Init is answered
 }
 
-// Health is what a replica answers to health checks, whether or not it is what the replica does with parts.
+// Health configures the answers of a replica to health checks, which need not match how it serves parts.
 type Health struct {
 	Status       int    // of GET /healthz of an SRU replica; 0: 200
-	Degraded     bool   // as Envoy's header says it
+	Degraded     bool   // sends Envoy's header for a degraded server
 	RejectChecks bool   // rejects SRU explain, and the Init of a Z39.50 check
 	Hang         bool   // no answer
 	Body         string // of /healthz
 }
 
-// Store is what a replica holds where shards change. It answers for a database's name, or rejects with a reason.
+// Store stores the records of a replica in an archive with resharding. It accepts or rejects requests by the database's
+// name.
 type Store interface {
-	// Search returns at most limit records of a shard in the order of their identifiers, and how many the shard has. A
-	// reason that is not empty means that the replica does not answer for the shard.
+	// Search returns at most limit records of a shard in the order of their identifiers, and the number of records of
+	// the shard. If reason is not empty, the replica rejects the search.
 	Search(database string, limit int) (records []Record, count int, reason string)
-	// Correct changes a record; with a reason that is not empty it has not run.
+	// Correct changes a record. If reason is not empty, the replica rejects the correction, which has no effect.
 	Correct(database, id string) (reason string)
 }
 
@@ -66,12 +67,12 @@
 	faults  Faults
 	health  Health
 	started time.Time
-	slots   chan struct{} // one for each core; nil: any number
-	stop    func()        // ends the listener and all connections
+	slots   chan struct{} // one entry for each core in use; nil: no limit
+	stop    func()        // closes the listener and all connections
 	running bool
 }
 
-// randomStream returns the stream of random numbers of the replica with a name, by the run's seed.
+// randomStream returns the random stream of the replica with a name, for the seed of a run.
 func randomStream(seed uint64, name string) *rand.Rand {
 	nameHash := fnv.New64a()
 	_, _ = nameHash.Write([]byte(name)) // a hash does not fail
@@ -89,24 +90,24 @@
 	return s, s.Start()
 }
 
-// SRU starts an SRU replica on a port of its own.
+// SRU starts an SRU replica on a free port of loopback.
 func (a *Archive) SRU(name string, seed uint64) (*Server, error) {
 	return a.start(name, protocolSRU, seed)
 }
 
-// Z3950 starts a Z39.50 target on a port of its own.
+// Z3950 starts a Z39.50 target on a free port of loopback.
 func (a *Archive) Z3950(name string, seed uint64) (*Server, error) {
 	return a.start(name, protocolZ3950, seed)
 }
 
-// Addr is where the replica listens, or listened.
+// Addr returns the address of the listener, also while the replica is stopped.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Start starts a replica that is stopped, at the address that it had. It does nothing to one that runs.
+// Start restarts a stopped replica at its previous address. It does nothing if the replica is running.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// Kill ends a replica as a crash does: connections are reset, new ones refused.
+// Kill stops a replica as a crash would: its connections are closed and further ones are refused.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	stop := s.stop
@@ -153,7 +154,7 @@
 	return s.store
 }
 
-// SetFaults changes the faults that the replica injects. Parts under way keep those that they have met.
+// SetFaults changes the faults that the replica injects. It does not affect parts in flight.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +184,7 @@
 	return s.health
 }
 
-// nextPart draws which fault a part meets and how long it takes; slots is what it has to queue for.
+// nextPart draws the fault and the delay of a part; slots limits the parts that are served concurrently.
 func (s *Server) nextPart() (fault string, delay time.Duration, slots chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,13 +194,13 @@
 	}
 	age := time.Since(s.started)
 	if s.faults.WarmupPeriod > 0 && age < s.faults.WarmupPeriod {
-		coldness := 1 - float64(age)/float64(s.faults.WarmupPeriod)
-		delay += time.Duration(3 * float64(delay) * coldness)
+		warmupRemaining := 1 - float64(age)/float64(s.faults.WarmupPeriod)
+		delay += time.Duration(3 * float64(delay) * warmupRemaining)
 	}
 	return s.faults.pick(s.rng.Float64()), delay, s.slots
 }
 
-// pick returns the fault that a sample from 0 to 1 stands for; empty: none.
+// pick returns the fault for a sample from 0 to 1, by the rates; empty: none.
 func (f *Faults) pick(sample float64) (fault string) {
 	for _, kind := range [...]struct {
 		rate  float64
@@ -218,8 +219,8 @@
 	return ""
 }
 
-// process spends the time that a part takes, queueing for a core included, and returns the fault that it meets. Errors
-// come at once: that is what makes a failing replica attractive to a load balancer.
+// process waits for a core and for the delay of a part, and returns the part's fault. Errors are immediate: fast
+// failures make a failing replica attractive to a load balancer.
 func (s *Server) process() (fault string) {
 	fault, delay, slots := s.nextPart()
 	if fault == FaultError {
--- a/internal/testbed/replica/sru.go
+++ b/internal/testbed/replica/sru.go
@@ -36,18 +36,18 @@
 		diagnosticsFormat + `</updateResponse>`
 )
 
-// serveSRU serves an SRU replica and returns how to end it.
+// serveSRU serves SRU in the background; stop closes the listener and all connections.
 func (s *Server) serveSRU(listener net.Listener) (stop func()) {
 	server := &http.Server{Handler: http.HandlerFunc(s.serveHTTP)}
-	go func() { _ = server.Serve(listener) }() // it ends with stop
-	return func() { _ = server.Close() }       // nothing is lost with it
+	go func() { _ = server.Serve(listener) }() // stop ends it
+	return func() { _ = server.Close() }       // no written data depends on it
 }
 
-// write writes an answer. A client that has left gets none: that is no error here.
+// write writes an answer. An error means that the client has disconnected, and is ignored.
 func write(w http.ResponseWriter, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// hang gives no answer until the client leaves, or the archive closes.
-func (s *Server) hang(r *http.Request) (clientLeft bool) {
+// hang blocks until the client disconnects, which it reports, or the archive is closed.
+func (s *Server) hang(r *http.Request) (disconnected bool) {
 	select {
 	case <-r.Context().Done():
 		return true
@@ -110,7 +110,7 @@
 		http.Error(w, "no update", http.StatusBadRequest)
 		return
 	}
-	if store := s.currentStore(); store != nil { // before anything runs
+	if store := s.currentStore(); store != nil { // a rejection has no effect
 		if reason := store.Correct(database, update.ID); reason != "" {
 			write(w, rejectedUpdateFormat, reason)
 			return
@@ -146,7 +146,7 @@
 func (s *Server) serveStoreSearch(
 	w http.ResponseWriter, r *http.Request, store Store, begin time.Time, database string,
 ) {
-	limit, _ := strconv.Atoi(r.URL.Query().Get("maximumRecords")) // none: 0
+	limit, _ := strconv.Atoi(r.URL.Query().Get("maximumRecords")) // missing or invalid: 0
 	records, count, reason := store.Search(database, limit)
 	if reason != "" {
 		write(w, rejectedSearchFormat, reason)
@@ -165,12 +165,12 @@
 	write(w, searchEnd)
 }
 
-// fail does what a part meets in place of an answer, and says whether it met anything.
+// fail carries out a fault instead of an answer. It returns false if there is no fault that replaces the answer.
 func (s *Server) fail(w http.ResponseWriter, r *http.Request, fault string) bool {
 	switch fault {
 	case FaultHang:
 		if s.hang(r) {
-			s.archive.clientLeft(s.Name)
+			s.archive.reportDisconnect(s.Name)
 		}
 	case FaultBreak:
 		panic(http.ErrAbortHandler)
--- a/internal/testbed/replica/z3950.go
+++ b/internal/testbed/replica/z3950.go
@@ -11,7 +11,7 @@
 	"rooktrestle/internal/testbed/ber"
 )
 
-// Bib-1 diagnostics that targets answer with, as the bodies of their integers.
+// Bib-1 diagnostics of the targets, as the encoded contents of their integers.
 const (
 	temporaryError      = "\x02"     // 2: temporary system error
 	databaseUnavailable = "\x6d"     // 109
@@ -20,15 +20,15 @@
 
 // Values of responses.
 const (
-	resultSetOK          = "\xff"
-	resultSetFailed      = "\x00"
-	taskDone             = 1
-	taskFailed           = 3
-	presentationFailure  = 3
-	noiseInsteadOfAnAPDU = "\xb7\x03\x02\x01\x00noise"
+	resultSetOK         = "\xff"
+	resultSetFailed     = "\x00"
+	taskDone            = 1
+	taskFailed          = 3
+	presentationFailure = 3
+	corruptResponse     = "\xb7\x03\x02\x01\x00noise"
 )
 
-// Universal tags, negative as package ber takes them.
+// Universal tags, negative as package ber expects them.
 const (
 	tagInteger          = -2
 	tagObjectIdentifier = -6
@@ -36,7 +36,7 @@
 	tagGeneralString    = -27
 )
 
-// connections are those of one target while it runs.
+// connections tracks the open connections of one running target.
 type connections struct {
 	mu   sync.Mutex
 	open map[net.Conn]bool
@@ -54,19 +54,19 @@
 	delete(c.open, conn)
 }
 
-// reset ends all connections as a crash does.
+// reset resets all connections, as a crash would.
 func (c *connections) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.open {
 		if t, ok := conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // where it fails, a plain close is what there is
+			_ = t.SetLinger(0) // if it fails, the connection is closed without a reset
 		}
-		_ = conn.Close() // nothing is lost with it
+		_ = conn.Close() // no written data depends on it
 	}
 }
 
-// serveZ3950 serves a Z39.50 target and returns how to end it.
+// serveZ3950 serves Z39.50 in the background; stop closes the listener and resets all connections.
 func (s *Server) serveZ3950(listener net.Listener) (stop func()) {
 	conns := &connections{open: map[net.Conn]bool{}}
 	go func() {
@@ -84,25 +84,25 @@
 		}
 	}()
 	return func() {
-		_ = listener.Close() // nothing is lost with it
+		_ = listener.Close() // the connections are reset below
 		conns.reset()
 	}
 }
 
-// association is one origin's connection.
+// association is the connection of one origin.
 type association struct {
 	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// apdu is a request with the moment of its first byte.
+// apdu is a request with the time of its first byte.
 type apdu struct {
 	ber.TLV
 	begin time.Time
 }
 
-// referenceID is the request's reference identifier, encoded for the response.
+// referenceID returns the request's reference identifier, encoded for the response.
 func (r *apdu) referenceID() string { return ber.Primitive(2, string(r.Child(2).Body)) }
 
 // readAPDU reads a request.
@@ -115,9 +115,9 @@
 	return &apdu{TLV: value, begin: begin}, err
 }
 
-// serve answers APDUs until the origin leaves, or a part meets a fault that ends the connection.
+// serve answers APDUs until the origin disconnects, or a part has a fault that closes the connection.
 func (a *association) serve() {
-	defer func() { _ = a.conn.Close() }() // nothing is lost with it
+	defer func() { _ = a.conn.Close() }() // no written data depends on it
 	for {
 		request, err := a.readAPDU()
 		if err != nil {
@@ -146,22 +146,22 @@
 // send writes an APDU. A failure means that the origin has closed the connection, which the next read reports.
 func (a *association) send(apdu string) { _, _ = io.WriteString(a.conn, apdu) }
 
-// hang gives no answer until the origin leaves.
+// hang blocks until the origin disconnects.
 func (a *association) hang() { _, _ = a.reader.ReadByte() }
 
-// fail does what a part meets in place of an answer; the connection ends after it.
+// fail carries out a fault instead of an answer. The caller closes the connection afterwards.
 func (a *association) fail(fault string) {
 	switch fault {
 	case FaultHang:
 		a.hang()
-		a.server.archive.clientLeft(a.server.Name)
+		a.server.archive.reportDisconnect(a.server.Name)
 	case FaultCorrupt:
-		a.send(noiseInsteadOfAnAPDU)
+		a.send(corruptResponse)
 		a.hang()
 	}
 }
 
-// answerInit answers Init, and says whether the association goes on.
+// answerInit answers Init, and reports whether the association continues.
 func (a *association) answerInit(request *apdu) bool {
 	health := a.server.currentHealth()
 	if health.Hang {
@@ -170,7 +170,7 @@
 	}
 	time.Sleep(a.server.initDelay())
 	result := resultSetOK
-	// Only the Init of a check is rejected: the checks are to contradict what the replica does with parts.
+	// Only the Init of a health check is rejected, so that checks fail while the replica serves parts.
 	isCheck := strings.Contains(string(request.Child(110).Body), "check")
 	if health.RejectChecks && isCheck {
 		result = resultSetFailed
@@ -184,7 +184,7 @@
 	return true
 }
 
-// answerSearch answers a search, and returns the fault that it met instead.
+// answerSearch answers a search, or returns the fault that replaces the answer.
 func (a *association) answerSearch(request *apdu) (fault string) {
 	s := a.server
 	ref := request.referenceID()
@@ -220,9 +220,9 @@
 	return ""
 }
 
-// diagnostic is a Bib-1 diagnostic of a failure.
+// diagnostic is a Bib-1 diagnostic in a response.
 type diagnostic struct {
-	code    string // the body of its integer
+	code    string // encoded contents of its integer
 	textTag int    // of the additional information
 	text    string
 }
@@ -263,13 +263,13 @@
 		ber.Constructed(28, list...))
 }
 
-// answerUpdate answers a record update, and returns the fault that it met instead.
+// answerUpdate answers a record update, or returns the fault that replaces the answer.
 func (a *association) answerUpdate(request *apdu) (fault string) {
 	s := a.server
 	ref := request.referenceID()
 	update := request.Child(10).Child(0).Children[0] // esRequest
 	id := string(update.Child(2).Children[0].Children[0].Child(1).Children[0].Body)
-	if store := s.currentStore(); store != nil { // before anything runs
+	if store := s.currentStore(); store != nil { // a rejection has no effect
 		if reason := store.Correct(updateDatabase(update), id); reason != "" {
 			a.send(updateFailure(ref, diagnostic{code: databaseUnavailable, textTag: tagVisibleString, text: reason}))
 			return ""
@@ -289,10 +289,10 @@
 	return ""
 }
 
-// updateDatabase is the database that an update (esRequest) names.
+// updateDatabase returns the database of an update (esRequest).
 func updateDatabase(update ber.TLV) string {
 	toKeep := update.Child(1)
-	if len(toKeep.Children) == 1 && toKeep.Children[0].Class == 0 { // a sequence inside
+	if len(toKeep.Children) == 1 && toKeep.Children[0].Class == 0 { // wrapped in a sequence
 		toKeep = toKeep.Children[0]
 	}
 	return string(toKeep.Child(2).Body)
