--- a/internal/testbed/deployment/config.go
+++ b/internal/testbed/deployment/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// withDefaults fills in what the options leave out.
+// withDefaults returns the options with defaults for the fields that are zero.
 func (o Options) withDefaults() Options {
 	if o.CheckInterval == 0 {
 		o.CheckInterval = 200 * time.Millisecond
@@ -26,7 +26,7 @@
 	return o
 }
 
-// shardSizes are how many shards are searched, and how many cells the servers fill.
+// shardSizes returns the number of shards that the databases search, and the number of cells of the servers.
 func (o Options) shardSizes() (shards, cells int) {
 	if o.CheckedOnlyCount > 0 {
 		return o.Replicas - o.Reach + 1, o.Replicas + o.CheckedOnlyCount
@@ -34,7 +34,7 @@
 	return o.Replicas, o.Replicas
 }
 
-// config is the operators' file.
+// config returns the text of the operators' file.
 func (d *Deployment) config(options Options) string {
 	options = options.withDefaults()
 	var b strings.Builder
@@ -46,10 +46,10 @@
 	return b.String()
 }
 
-// write writes to a builder, which does not fail.
+// write writes to a builder; writes to a strings.Builder never fail.
 func write(b *strings.Builder, format string, args ...any) { _, _ = fmt.Fprintf(b, format, args...) }
 
-// writeLimits writes the name, the listeners, the limits, the times of checks and the ring of shards.
+// writeLimits writes the name, the listeners, the limits, the settings of health checks and the ring of shards.
 func writeLimits(b *strings.Builder, options Options) {
 	servers := float64(options.Replicas + options.CheckedOnlyCount)
 	checksPerSecond := 100 + int(4*servers/options.CheckInterval.Seconds())
@@ -90,7 +90,7 @@
 		options.Reach)
 }
 
-// ListenConfig is the table of the operators' file that has every frontend listen on a port of its own.
+// ListenConfig is the table of the operators' file with the listeners, each on a free port of loopback.
 const ListenConfig = `[listen]
 sru = "127.0.0.1:0"
 z3950 = "127.0.0.1:0"
@@ -98,8 +98,8 @@
 agent = "127.0.0.1:0"
 `
 
-// ClassConfig is the operators' file on the three classes: line-search, coverage-report and line-correction. Objectives
-// and deadlines are multiplied by factor; searchConfig has more keys of line-search.
+// ClassConfig returns the tables of the operators' file for the three classes: line-search, coverage-report and
+// line-correction. Objectives and deadlines are multiplied by factor; searchConfig has further keys of line-search.
 func ClassConfig(factor int, searchConfig string) string {
 	var b strings.Builder
 	for _, class := range []struct {
@@ -134,7 +134,7 @@
 	return b.String()
 }
 
-// writeDatabases writes two databases of all shards, and the checks of both protocols.
+// writeDatabases writes the tenant, two databases of all searched shards, and the health checks of both protocols.
 func writeDatabases(b *strings.Builder, options Options) {
 	var list []string
 	shards, _ := options.shardSizes()
@@ -167,7 +167,7 @@
 `, all, all)
 }
 
-// writeServers writes the replicas, and after them the servers that are only checked.
+// writeServers writes the replicas, followed by the servers that are only checked.
 func (d *Deployment) writeServers(b *strings.Builder, options Options) {
 	checks := map[string]string{"sru": "healthz", "z3950": "init"} // by protocol
 	for i, server := range d.Replicas {
--- a/internal/testbed/deployment/deployment.go
+++ b/internal/testbed/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment sets up a complete deployment for a test, a demonstration or an experiment: stand-in replicas of
-// both protocols, an operators' file written for them, and the real frontends started from it in this process.
+// Package deployment starts a complete deployment for a test, a demonstration or an experiment: stand-in replicas of
+// both protocols, an operators' file that lists them, and the real frontends, which run in this process.
 package deployment
 
 import (
@@ -14,29 +14,30 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// Options of a deployment.
+// Options configures a deployment.
 type Options struct {
-	Replicas      int // round the ring; every second one speaks Z39.50, unless SRUOnly is set
-	Reach         int // holders of a shard; at least 1
+	Replicas      int // in the ring; every second one uses Z39.50, unless SRUOnly is set
+	Reach         int // replicas of a shard; at least 1
 	SRUOnly       bool
 	Seed          uint64
 	CheckInterval time.Duration // between two checks of a replica; 0: 200 ms
 	CheckTimeout  time.Duration // of a check; 0: 500 ms
-	// ConnectTimeout is that of a connection to a replica; 0: the default of the operators' file.
+	// ConnectTimeout applies to connecting to a replica; 0: the default of the operators' file.
 	ConnectTimeout time.Duration
 	MaxSockets     int
 	MaxOpen        int
-	// DeadlineFactor multiplies the latency objective and the deadline of each class, for tests whose verdict may not
-	// depend on how fast the machine is. 0: 1.
+	// DeadlineFactor multiplies the latency objective and the deadline of each class, for tests whose result must
+	// not depend on the speed of the machine. 0: 1.
 	DeadlineFactor int
 	Agents         bool               // each replica has an agent, and an agent-check
-	ExtraConfig    string             // more of the operators' file, before the servers
-	ServerConfig   func(i int) string // more keys of server i; nil: none
-	// CheckedOnlyAddr is the address of further server i. Such servers hold no shard that is searched, and are only
-	// checked. With them the last shards have fewer holders, and the databases leave these shards out.
+	ExtraConfig    string             // further text of the operators' file, before the servers
+	ServerConfig   func(i int) string // further keys of server i; nil: none
+	// CheckedOnlyAddr returns the address of additional server i. These servers hold no shard that is searched; they
+	// only receive health checks. With them the last shards of the ring have fewer replicas, and the databases leave
+	// these shards out.
 	CheckedOnlyAddr  func(i int) string
 	CheckedOnlyCount int
-	Log              slog.Handler // where the aggregator logs, beside Events; nil: nowhere
+	Log              slog.Handler // receives the aggregator's log in addition to Events; nil: none
 }
 
 // Deployment is a running deployment.
@@ -50,7 +51,7 @@
 	dir        string
 }
 
-// Start starts a deployment. The caller stops it.
+// Start starts a deployment. The caller must call Stop.
 func Start(options Options) (d *Deployment, err error) {
 	options.Reach = max(1, options.Reach)
 	d = &Deployment{
@@ -75,13 +76,13 @@
 	}
 	conf, err := config.LoadPartners(d.ConfigPath)
 	if err != nil {
-		return d, fmt.Errorf("read the configuration: %w", err)
+		return d, fmt.Errorf("load the generated configuration: %w", err)
 	}
 	d.Frontend, err = app.StartPartners(conf, options.Seed, slog.New(d.Events))
 	return d, err
 }
 
-// startReplicas starts the replicas, of both protocols in turn, and their agents.
+// startReplicas starts the replicas, alternating between the protocols, and their agents.
 func (d *Deployment) startReplicas(options Options) error {
 	for i := range options.Replicas {
 		start := d.Archive.SRU
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// Replica finds a replica by its name; nil: there is none.
+// Replica returns the replica with a name, or nil if there is none.
 func (d *Deployment) Replica(name string) *replica.Server {
 	for _, server := range d.Replicas {
 		if server.Name == name {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// Stop ends the deployment and removes its files. A Frontend that the caller stopped is to be set to nil before.
+// Stop stops the deployment and removes its files. A caller that has stopped Frontend itself sets it to nil first.
 func (d *Deployment) Stop() {
 	d.Archive.Close()
 	if d.Frontend != nil {
@@ -129,6 +130,6 @@
 		agent.Close()
 	}
 	if d.dir != "" {
-		_ = os.RemoveAll(d.dir) // what is left is a temporary folder
+		_ = os.RemoveAll(d.dir) // on an error a temporary folder remains
 	}
 }
--- a/internal/testbed/deployment/events.go
+++ b/internal/testbed/deployment/events.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Event is one line of the aggregator's log.
+// Event is one record of the aggregator's log.
 type Event struct {
 	At    time.Time
 	Msg   string
 	Attrs map[string]string
 }
 
-// Events is a handler of logs that keeps what it gets, and lets a test wait for it. It is safe for concurrent use.
+// Events is a log handler that retains all records, and lets a test wait for one. It is safe for concurrent use.
 type Events struct {
 	mu      sync.Mutex
 	list    []Event
@@ -38,7 +38,7 @@
 // WithGroup returns the same handler: the aggregator does not use it.
 func (e *Events) WithGroup(string) slog.Handler { return e }
 
-// Handle keeps a line, and passes it to whoever waits for it.
+// Handle retains a record, and passes it to the callers of Next that wait for it.
 func (e *Events) Handle(ctx context.Context, record slog.Record) error {
 	event := Event{At: record.Time, Msg: record.Message, Attrs: map[string]string{}}
 	record.Attrs(func(attr slog.Attr) bool {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// add keeps an event, passes it to those that wait for it, and returns the handler to which it is forwarded.
+// add retains an event, passes it to its waiters, and returns the handler to forward it to; nil: none.
 func (e *Events) add(event Event) (next slog.Handler) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,21 +68,21 @@
 	return e.next
 }
 
-// ForwardTo hands each event on to another handler, too; nil: to none.
+// ForwardTo also passes each further record to another handler; nil: to none.
 func (e *Events) ForwardTo(next slog.Handler) {
 	e.mu.Lock()
 	e.next = next
 	e.mu.Unlock()
 }
 
-// All are the events so far. The caller owns the list.
+// All returns all events so far. The caller owns the list.
 func (e *Events) All() []Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.list)
 }
 
-// Next returns a channel that gets the next event that matches. An event that has been logged already is not found.
+// Next returns a channel that receives the next matching event. Events logged before the call are not considered.
 func (e *Events) Next(matches func(Event) bool) <-chan Event {
 	found := make(chan Event, 1)
 	e.mu.Lock()
@@ -91,7 +91,7 @@
 	return found
 }
 
-// HealthChanged matches a change of a server's health whose cause contains a text.
+// HealthChanged returns a function that matches a change of a server's health whose cause contains a text.
 func HealthChanged(server, cause string) func(Event) bool {
 	return func(event Event) bool {
 		ofServer := event.Msg == "health" && event.Attrs["server"] == server
