--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -1,5 +1,5 @@
-// Package load calls a frontend at a steady rate, open-loop: calls begin at their intended times whether earlier ones
-// have ended or not, and latencies count from the intended time, so that no stall is omitted from them.
+// Package load is an open-loop load generator: calls start at their intended times, whether or not previous calls have
+// completed, and latencies are measured from the intended times. This avoids coordinated omission of stalls.
 package load
 
 import (
@@ -13,7 +13,7 @@
 	"rooktrestle/internal/testbed/client"
 )
 
-// Mix has the weights of the kinds of calls. Those of Z39.50 begin with Z.
+// Mix contains the weights of the kinds of calls; the names of those over Z39.50 begin with Z3950.
 type Mix struct {
 	Searches         float64
 	Z3950Searches    float64
@@ -22,7 +22,7 @@
 	Z3950Corrections float64
 }
 
-// DefaultMix is the archive's mix of classes over both protocols.
+// DefaultMix is the mix of classes and protocols of the archive's traffic.
 var DefaultMix = Mix{
 	Searches:         0.4,
 	Z3950Searches:    0.15,
@@ -31,23 +31,23 @@
 	Z3950Corrections: 0.07,
 }
 
-// Plan describes a run.
+// Plan configures a run.
 type Plan struct {
-	SRU, Z3950 string  // addresses; an empty one is not called
-	Rate       float64 // calls a second; arrivals are a Poisson process
-	// MaxInFlight bounds the calls in flight: a call that is due meanwhile begins when one has ended. On a machine
-	// that is too slow for Rate there are fewer calls then, not more of them in flight. 0: no bound, the load is
-	// open-loop.
+	SRU, Z3950 string  // addresses; without Z3950 all calls use SRU
+	Rate       float64 // calls per second; arrivals are a Poisson process
+	// MaxInFlight bounds the calls in flight: at the bound, the next call starts when one in flight completes. A
+	// machine that is too slow for Rate then makes fewer calls instead of accumulating calls in flight. 0: no bound,
+	// the load is open-loop.
 	MaxInFlight int
 	Mix         Mix
 	Seed        uint64
 	Timeout     time.Duration
-	Origins     int // associations kept for Z39.50 calls
+	Origins     int // number of associations for Z39.50 calls
 }
 
-// Call is one call that has ended.
+// Call is one completed call.
 type Call struct {
-	Kind    string // one of the kinds of calls, as search or z-search
+	Kind    string // one of the kinds of calls, such as search or z-search
 	ID      string // of corrections
 	Began   time.Time
 	Latency time.Duration // from the intended time
@@ -61,7 +61,7 @@
 	latencies *hdrhistogram.Histogram // microseconds
 }
 
-// Calls are the ended calls that began between two moments.
+// Calls returns the completed calls that began at or after from and before to.
 func (r *Result) Calls(from, to time.Time) (list []Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +73,7 @@
 	return list
 }
 
-// Quantile is a percentile (0 to 100) of the latencies of all calls, with a precision of a microsecond.
+// Quantile returns a percentile (0 to 100) of the latencies of all calls, in units of a microsecond.
 func (r *Result) Quantile(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	return counts
 }
 
-// CompleteFraction is the fraction of the calls that was answered completely; 1 if there was none.
+// CompleteFraction returns the fraction of the calls that were answered completely, or 1 if there are no calls.
 func CompleteFraction(calls []Call) float64 {
 	if len(calls) == 0 {
 		return 1
@@ -99,12 +99,12 @@
 func (r *Result) add(c Call) {
 	r.mu.Lock()
 	r.calls = append(r.calls, c)
-	// A latency over the histogram's range cannot be recorded: no call takes as long, as clients time out.
+	// Recording fails only for a latency over the histogram's range, which no call reaches, because clients time out.
 	_ = r.latencies.RecordValue(max(1, int64(c.Latency/time.Microsecond)))
 	r.mu.Unlock()
 }
 
-// Start begins a run. stop ends it and returns once the calls in flight have ended; it may be called more than once.
+// Start starts a run. stop ends it and waits for the calls in flight; it may be called more than once.
 func Start(plan Plan) (result *Result, stop func()) {
 	g := &generator{
 		plan:    plan,
@@ -143,15 +143,15 @@
 	kindZ3950Correction = "z-correct"
 )
 
-// arrivalStream is the stream of random numbers of the arrivals.
+// arrivalStream is the random stream of the arrivals.
 const arrivalStream = 11
 
 // generator makes the calls of one run.
 type generator struct {
 	plan    Plan
 	web     *client.SRU
-	origins chan *client.Origin // idle associations; nil: to be dialed when it is first used
-	slots   chan struct{}       // one for each call in flight; nil: no bound
+	origins chan *client.Origin // idle associations; nil entries are dialed on first use
+	slots   chan struct{}       // one entry for each call in flight; nil: no bound
 	result  *Result
 	calls   sync.WaitGroup
 	quit    chan struct{}
@@ -176,7 +176,7 @@
 		if !g.acquireSlot() {
 			return
 		}
-		due := intended // the next call has another
+		due := intended // the loop changes intended
 		g.calls.Go(func() {
 			defer g.releaseSlot()
 			began := time.Now()
@@ -186,7 +186,7 @@
 	}
 }
 
-// acquireSlot waits until another call may be in flight; false: the run ends.
+// acquireSlot waits until another call may be in flight. It returns false if the run ends first.
 func (g *generator) acquireSlot() bool {
 	if g.slots == nil {
 		return true
@@ -217,7 +217,7 @@
 	}
 }
 
-// pick draws the kind of a call. Without an address of Z39.50 its calls are made over SRU.
+// pick draws the kind of a call. Without a Z39.50 address, the calls over Z39.50 are replaced by calls over SRU.
 func (p Plan) pick(rng *rand.Rand) string {
 	mix := p.Mix
 	if p.Z3950 == "" {
@@ -246,7 +246,7 @@
 	return kindSearch
 }
 
-// call makes one call; id is that of a correction.
+// call makes one call; id identifies a correction.
 func (g *generator) call(kind, id string) client.Outcome {
 	switch kind {
 	case kindSearch:
@@ -259,7 +259,7 @@
 	return g.callZ3950(kind, id)
 }
 
-// callZ3950 makes a call on an idle association. One that breaks is replaced.
+// callZ3950 makes a call on an idle association. A broken association is replaced on its next use.
 func (g *generator) callZ3950(kind, id string) client.Outcome {
 	o := <-g.origins
 	if o == nil {
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// A server that stalls for a second shows in the latencies of all calls that were intended for that second, not only in
-// that of one overdue answer: there is no coordinated omission.
+// Guards against coordinated omission: a server that stalls for a second must affect the latencies of all calls that
+// were intended for that second, not only that of one call.
 func TestStart_StallsAreNotOmitted(t *testing.T) {
-	var stalled atomic.Int64 // until, in Unix nanoseconds
+	var stalled atomic.Int64 // end of the stall, in Unix nanoseconds
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(time.Until(time.Unix(0, stalled.Load())))
 		if _, err := w.Write([]byte("<numberOfRecords>1</numberOfRecords>")); err != nil {
@@ -39,7 +39,7 @@
 		if c.Latency >= 500*time.Millisecond {
 			slow++
 		}
-		// Each call during the stall lasted until its end at least.
+		// Each call that began during the stall lasted at least until its end.
 		duringStall := c.Began.After(from.Add(100*time.Millisecond)) && c.Began.Before(from.Add(900*time.Millisecond))
 		if duringStall && c.Began.Add(c.Latency).Before(from.Add(990*time.Millisecond)) {
 			t.Errorf("a call at %v took %v", c.Began.Sub(from), c.Latency)
@@ -53,7 +53,7 @@
 	}
 }
 
-// With a bound on the calls in flight no more than that are, however slow the server is, and the calls go on.
+// MaxInFlight bounds the calls in flight while the server does not respond, and a completed call admits another.
 func TestStart_MaxInFlightBoundsTheCallsInFlight(t *testing.T) {
 	const bound = 2
 	arrived := make(chan struct{})
@@ -83,7 +83,7 @@
 	case <-time.After(100 * time.Millisecond): // 1,000 more calls are due by then
 	}
 	release <- struct{}{}
-	<-arrived // another call, in place of the one that has ended
+	<-arrived // another call replaces the completed one
 	close(release)
 	go func() {
 		for range arrived {
