--- a/internal/testbed/resharding/config.go
+++ b/internal/testbed/resharding/config.go
@@ -8,7 +8,7 @@
 	"rooktrestle/internal/testbed/deployment"
 )
 
-// frontendConfig is the operators' file of a frontend, by its index and the address of its source of shard maps.
+// frontendConfig returns the operators' file of the frontend with an index; source is the address of its map source.
 func (a *Archive) frontendConfig(index int, source string) string {
 	var b strings.Builder
 	write(&b, `name = "front%d"
@@ -33,7 +33,7 @@
 	return b.String()
 }
 
-// write writes to a builder, which does not fail.
+// write writes to a builder; writes to a strings.Builder never fail.
 func write(b *strings.Builder, format string, args ...any) { _, _ = fmt.Fprintf(b, format, args...) }
 
 // writeDatabases writes the tenant and the databases.
--- a/internal/testbed/resharding/content.go
+++ b/internal/testbed/resharding/content.go
@@ -1,6 +1,6 @@
-// Package resharding is the testbed's archive whose shards split, merge and move: replicas that hold records by key
-// range and fence by epoch, a source of shard maps, a controller that carries plans out and may be killed before any
-// step, and a checker that compares every answer with the archive's known content.
+// Package resharding runs an archive whose shards are split, merged and moved: replicas that store key ranges and
+// reject parts for shards they do not hold at their epoch, a source of shard maps, a controller that carries out plans
+// and can be killed before any step, and a checker that compares every answer with the archive's content.
 package resharding
 
 import (
@@ -16,11 +16,11 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// Content is all records of the archive, in the order of their identifiers. It does not change: corrections are only
-// counted.
+// Content lists all records of the archive, in the order of their identifiers. It does not change, because corrections
+// are only counted.
 type Content struct{ IDs []string }
 
-// NewContent makes records of so many programmes, years of each, and lines of each year.
+// NewContent returns the records of a number of programmes, with years per programme and lines per year.
 func NewContent(programmes, years, lines int) *Content {
 	c := &Content{}
 	for programme := range programmes {
@@ -34,10 +34,10 @@
 	return c
 }
 
-// keyOf is the key of a record: its identifier without the line.
+// keyOf returns the key of a record, which is its identifier without the line.
 func keyOf(id string) string { return id[:strings.IndexByte(id, ':')] }
 
-// keys are the keys of all records, in order, each once.
+// keys returns the keys of all records in order, without duplicates.
 func (c *Content) keys() (list []string) {
 	for _, id := range c.IDs {
 		list = append(list, keyOf(id))
@@ -45,7 +45,7 @@
 	return slices.Compact(list)
 }
 
-// between are the records of a range of keys; to is not in it, and empty for no bound.
+// between returns the records with keys from from, inclusive, to to, exclusive. An empty to means no upper bound.
 func (c *Content) between(from, to string) []string {
 	begin := c.indexOf(from)
 	end := len(c.IDs)
@@ -55,12 +55,12 @@
 	return c.IDs[begin:max(begin, end)]
 }
 
-// indexOf is the index of the first record whose key is not before a key.
+// indexOf returns the index of the first record whose key is not less than a key.
 func (c *Content) indexOf(key string) int {
 	return sort.Search(len(c.IDs), func(i int) bool { return keyOf(c.IDs[i]) >= key })
 }
 
-// recordOf is the record with an identifier, which is all of its content.
+// recordOf returns the record with an identifier, which is its only content.
 func recordOf(id string) replica.Record {
 	return replica.Record{
 		ID: id,
@@ -69,20 +69,20 @@
 	}
 }
 
-// shardState is what a replica knows of one shard.
+// shardState is a replica's state of one shard.
 type shardState struct {
 	from      string // first key
-	to        string // key after the last; empty: no bound
+	to        string // upper bound of the keys, exclusive; empty: none
 	joining   bool
-	remaining int    // of a joining replica: records that are still to be copied
-	removedAt uint64 // epoch since which it is another's; 0: it is held
+	remaining int    // records still to be copied, while joining
+	removedAt uint64 // epoch that removed the shard from the replica; 0: the replica holds it
 }
 
-// copyChunk is how many records are copied at a time.
+// copyChunk is the number of records in one chunk.
 const copyChunk = 4
 
-// Store is what one replica holds. It reads maps with code of its own, so that a mistake in the program's is not made
-// twice. It is safe for concurrent use.
+// Store is the store of one replica. It parses shard maps without the program's code, so that a mistake in the program
+// is not repeated here. It is safe for concurrent use.
 type Store struct {
 	Name    string
 	Content *Content
@@ -90,12 +90,12 @@
 	mu             sync.Mutex
 	shards         map[uint64]*shardState
 	epoch          uint64
-	rejection      string         // reason for which everything is rejected; empty: none
-	rejected       int            // parts
+	rejection      string         // reason with which every request is rejected; empty: none
+	rejected       int            // number of rejected parts
 	correctionRuns map[string]int // by identifier
 }
 
-// NewStore returns an empty store of the replica with a name.
+// NewStore returns an empty store for the replica with a name.
 func NewStore(name string, c *Content) *Store {
 	return &Store{
 		Name:           name,
@@ -105,7 +105,7 @@
 	}
 }
 
-// mapDocument is what a replica reads of a shard map.
+// mapDocument contains the fields of a shard map that a replica reads.
 type mapDocument struct {
 	Epoch  uint64 `json:"epoch"`
 	Shards []struct {
@@ -119,7 +119,7 @@
 	} `json:"blocks"`
 }
 
-// ApplyMap passes a map to the replica. One of an older epoch than it knows changes nothing.
+// ApplyMap applies a shard map. It ignores a map whose epoch is not newer than the current one.
 func (s *Store) ApplyMap(text []byte) error {
 	var document mapDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -131,25 +131,25 @@
 		return nil
 	}
 	s.epoch = document.Epoch
-	held := map[uint64]bool{}
+	assigned := map[uint64]bool{}
 	for _, shard := range document.Shards {
 		for _, holder := range shard.Replicas {
 			if holder.Server == s.Name {
-				held[shard.ID] = true
-				s.hold(shard.ID, shard.From, shard.To, holder.Joining)
+				assigned[shard.ID] = true
+				s.assignShard(shard.ID, shard.From, shard.To, holder.Joining)
 			}
 		}
 	}
 	for id, shard := range s.shards {
-		if !held[id] && shard.removedAt == 0 {
+		if !assigned[id] && shard.removedAt == 0 {
 			shard.removedAt = document.Epoch
 		}
 	}
 	return nil
 }
 
-// hold notes that the replica holds a shard, or joins it. It is called with the lock held.
-func (s *Store) hold(id uint64, from, to string, joining bool) {
+// assignShard records that the replica holds or joins a shard. The caller must hold the lock.
+func (s *Store) assignShard(id uint64, from, to string, joining bool) {
 	shard := s.shards[id]
 	if shard != nil && shard.removedAt == 0 {
 		shard.joining = joining
@@ -163,14 +163,14 @@
 	}
 }
 
-// SetRejection makes the replica reject everything with a reason, true or not; empty ends it.
+// SetRejection makes the replica reject every request with a reason, which may be a false report; empty ends it.
 func (s *Store) SetRejection(reason string) {
 	s.mu.Lock()
 	s.rejection = reason
 	s.mu.Unlock()
 }
 
-// HasCopied says whether a joining replica has all records of a shard.
+// HasCopied reports whether the replica has all records of a shard.
 func (s *Store) HasCopied(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +178,7 @@
 	return shard != nil && (!shard.joining || shard.remaining <= 0)
 }
 
-// CopyChunk copies a few records of a shard that the replica joins, and says whether there are more.
+// CopyChunk copies one chunk of a shard that the replica joins, and reports whether records remain.
 func (s *Store) CopyChunk(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,25 +190,25 @@
 	return shard.remaining > 0
 }
 
-// Epoch is that of the newest map that the replica knows.
+// Epoch returns the epoch of the newest map that was applied.
 func (s *Store) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
 }
 
-// RejectedParts is how many parts it rejected.
+// RejectedParts returns the number of parts that the replica rejected.
 func (s *Store) RejectedParts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejected
 }
 
-// find finds a shard by a database's name, block-ID@EPOCH. A reason that is not empty means that the replica does not
-// answer for it; such a part is counted as rejected. It is called with the lock held.
+// find finds a shard by a database's name, block-ID@EPOCH. If reason is not empty, the replica rejects the part, which
+// is counted. The caller must hold the lock.
 func (s *Store) find(database string) (shard *shardState, reason string) {
 	number, _, _ := strings.Cut(strings.TrimPrefix(database, "block-"), "@")
-	id, _ := strconv.ParseUint(number, 10, 64) // what is no number is 0, which no shard has
+	id, _ := strconv.ParseUint(number, 10, 64) // an invalid number gives 0, which is not the ID of any shard
 	shard = s.shards[id]
 	if reason = s.rejectionOf(shard); reason != "" {
 		s.rejected++
@@ -216,7 +216,7 @@
 	return shard, reason
 }
 
-// rejectionOf is the reason for which the replica does not answer for a shard; empty: it does.
+// rejectionOf returns the reason to reject a part for a shard; empty: the replica serves it.
 func (s *Store) rejectionOf(shard *shardState) string {
 	switch {
 	case s.rejection != "":
@@ -231,7 +231,7 @@
 	return ""
 }
 
-// Search answers from the records of a shard.
+// Search returns records of a shard, as described by replica.Store.
 func (s *Store) Search(database string, limit int) (records []replica.Record, count int, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,7 +246,7 @@
 	return records, len(ids), ""
 }
 
-// Correct runs a correction, or says why not.
+// Correct runs a correction, or returns the reason to reject it.
 func (s *Store) Correct(database, id string) (reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,10 +261,10 @@
 	return ""
 }
 
-// contains says whether a key is in the shard's range.
+// contains reports whether a key is in the shard's range.
 func (s *shardState) contains(key string) bool { return key >= s.from && (s.to == "" || key < s.to) }
 
-// CorrectionRuns are how often each correction ran here. The caller owns the map.
+// CorrectionRuns returns how often each correction ran at this replica. The caller owns the map.
 func (s *Store) CorrectionRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/resharding/controller.go
+++ b/internal/testbed/resharding/controller.go
@@ -13,33 +13,35 @@
 	"rooktrestle/internal/state/atomicfile"
 )
 
-// Controller carries plans out: it persists the map and the plan, passes each map to the replicas, then publishes it.
-// It may be killed between any two of its steps; a new one continues from what is persisted. One goroutine uses it.
+// Controller carries out resharding plans. It persists the map and the plan, and passes each new map to the replicas
+// before it publishes it. It can be killed between any two steps; a new controller continues from the persisted state.
+// It is not safe for concurrent use.
 type Controller struct {
 	Stores     map[string]*Store
 	Publish    func(epoch uint64, text []byte)
 	Timing     shardmap.Timing
-	KillBefore func(step string) bool // if set, called before each step: true ends the controller there
+	KillBefore func(step string) bool // if set, called before each step; true stops the controller there
 	Log        func(text string)
-	// Copier copies to joining replicas in the background, within its budget.
+	// Copier runs the copying to joining replicas in the background, within its budget.
 	Copier *background.Runner
 
 	mapFile  *atomicfile.ValueFile
 	planFile *atomicfile.ValueFile
 	current  *shardmap.Map
-	copies   map[copyKey]scheduler.TaskID // under way
+	copies   map[copyKey]scheduler.TaskID // in progress
 }
 
-// copyKey names the copying of a shard to a joining replica.
+// copyKey identifies the copying of a shard to a joining replica.
 type copyKey struct {
 	shard  shardmap.ID
 	server string
 }
 
-// errKilled ends a controller where KillBefore says so.
-var errKilled = errors.New("killed")
+// errKilled means that KillBefore stopped the controller.
+var errKilled = errors.New("controller killed before a step")
 
-// NewController opens the state in a folder; first is the map where none is persisted.
+// NewController loads the persisted state from dir and announces the current map; first is the map if none is
+// persisted.
 func NewController(dir string, first *shardmap.Map, c Controller) (*Controller, error) {
 	c.mapFile = atomicfile.New(atomicfile.OS{}, filepath.Join(dir, "map"))
 	c.planFile = atomicfile.New(atomicfile.OS{}, filepath.Join(dir, "plan"))
@@ -58,11 +60,11 @@
 			return nil, err
 		}
 	}
-	// It may have been announced before: replicas and sources ignore a map that they have.
+	// The map may have been announced before: replicas and frontends ignore an epoch that they already have.
 	return &c, c.announce(c.current)
 }
 
-// Map is the current map.
+// Map returns the current map.
 func (c *Controller) Map() *shardmap.Map { return c.current }
 
 func (c *Controller) killedBefore(step string) bool { return c.KillBefore != nil && c.KillBefore(step) }
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// HasCopied says whether a joining replica has all of a shard. One that has not is copied to in the background.
+// HasCopied reports whether a replica has all records of a shard. If not, it ensures that they are copied in the
+// background.
 func (c *Controller) HasCopied(shard shardmap.ID, server string) bool {
 	store := c.Stores[server]
 	if store == nil {
@@ -104,7 +107,7 @@
 	return copied
 }
 
-// startCopying copies a shard to a replica in the background, until the task is removed.
+// startCopying starts a background task that copies a shard to a replica until the task is removed.
 func (c *Controller) startCopying(store *Store, shard shardmap.ID) scheduler.TaskID {
 	task := scheduler.Task{Priority: scheduler.Idle, Interval: time.Millisecond}
 	return c.Copier.Add(task, 0, func() (scheduler.Result, bool) {
@@ -113,7 +116,7 @@
 	})
 }
 
-// KnownEpoch is the epoch that a replica knows.
+// KnownEpoch returns the epoch of the newest map that a replica has received.
 func (c *Controller) KnownEpoch(server string) shardmap.Epoch {
 	store := c.Stores[server]
 	if store == nil {
@@ -122,7 +125,7 @@
 	return shardmap.Epoch(store.Epoch())
 }
 
-// PersistPlan persists a plan, so that a Run carries it out whatever happens.
+// PersistPlan persists a plan, so that Run carries it out even after a crash.
 func (c *Controller) PersistPlan(p *shardmap.Plan) error {
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -131,8 +134,8 @@
 	return c.planFile.Store(text)
 }
 
-// Run carries the persisted plan out until it is done or stop is closed. It fails with errKilled where KillBefore says
-// so.
+// Run carries out the persisted plan until it is completed or stop is closed. It returns errKilled if KillBefore stops
+// it.
 func (c *Controller) Run(stop <-chan struct{}) error {
 	plan, err := c.loadPlan()
 	if err != nil || plan == nil {
@@ -167,26 +170,26 @@
 	}
 }
 
-// loadPlan reads the persisted plan; nil: there is none.
+// loadPlan loads the persisted plan; nil: there is none.
 func (c *Controller) loadPlan() (*shardmap.Plan, error) {
 	text, err := c.planFile.Load()
 	if errors.Is(err, atomicfile.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("load the plan: %w", err)
+		return nil, fmt.Errorf("load the persisted plan: %w", err)
 	}
-	if len(text) == 0 { // the last plan was carried out
+	if len(text) == 0 { // the previous plan was completed
 		return nil, nil
 	}
 	var plan shardmap.Plan
 	if err := json.Unmarshal(text, &plan); err != nil {
-		return nil, fmt.Errorf("read the plan: %w", err)
+		return nil, fmt.Errorf("decode the persisted plan: %w", err)
 	}
 	return &plan, nil
 }
 
-// adopt persists a map and announces it.
+// adopt persists a map, makes it the current one, and announces it.
 func (c *Controller) adopt(m *shardmap.Map) error {
 	if c.killedBefore("persisting the map") {
 		return errKilled
--- a/internal/testbed/resharding/resharding_test.go
+++ b/internal/testbed/resharding/resharding_test.go
@@ -39,11 +39,11 @@
 	return a
 }
 
-// isExact says whether an answer is complete and has exactly the archive's records.
+// isExact reports whether an answer is complete and has exactly the archive's records.
 func (a Answer) isExact() bool { return a.Outcome == client.Complete && a.Violation == "" }
 
-// Shards split, merge and move all the time under load over two frontends, one of which gets maps late: no correction
-// runs twice, every complete answer is exact, and what callers are told of corrections is true.
+// Continuous resharding under load over two frontends, one of which receives maps with a delay: no correction runs
+// twice, every complete answer is exact, and the reported outcomes of corrections are correct.
 func TestReshard_UnderLoad(t *testing.T) {
 	a := startArchive(t, Options{
 		Seed:                 1,
@@ -70,10 +70,10 @@
 	}
 }
 
-// eventTimeout is how long an event is waited for: long enough for any machine, as reaching it is a failure.
+// eventTimeout bounds the wait for an event. It is long enough for a slow machine, because reaching it is a failure.
 const eventTimeout = 30 * time.Second
 
-// carryOut carries a plan out.
+// carryOut carries out a plan to its end.
 func (a *Archive) carryOut(t *testing.T, p *shardmap.Plan, err error) {
 	t.Helper()
 	if err == nil {
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	t.Fatalf("frontend %d does not adopt epoch %d", front, epoch)
+	t.Fatalf("frontend %d did not adopt epoch %d", front, epoch)
 }
 
 func (a *Archive) replica(name string) *replica.Server {
@@ -109,8 +109,9 @@
 	return nil
 }
 
-// A correction is in flight at its old holder while the shard migrates: it hangs, its connection is reset, or it is
-// answered after the switch. It runs once there, and nowhere else; the client is told the truth.
+// A correction is in flight at the previous replica while its shard migrates: it gets no answer, its connection is
+// reset, or it is answered after the migration. It must run once, at that replica only, and the client must receive the
+// correct outcome.
 func TestCorrection_InFlightWhileItsShardMigrates(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults replica.Faults
@@ -130,7 +131,7 @@
 		},
 	} {
 		a := startArchive(t, Options{Seed: 3, ReplicaCount: 6, ShardCount: 1})
-		for _, n := range []string{"n0", "n1"} { // the holders at the start
+		for _, n := range []string{"n0", "n1"} { // the replicas of the shard at the start
 			a.replica(n).SetFaults(c.faults)
 		}
 		id := a.Content.IDs[5] + "-moved"
@@ -143,24 +144,24 @@
 		a.carryOut(t, p, err)
 		a.waitForEpoch(t, 0, a.Controller.Map().Epoch)
 		if got := <-out; got != c.want {
-			t.Errorf("%s: the client is told %v, not %v", name, got, c.want)
+			t.Errorf("%s: the client received %v, want %v", name, got, c.want)
 		}
 		if n := a.CorrectionRuns()[id]; n != 1 {
-			t.Errorf("%s: it ran %d times", name, n)
+			t.Errorf("%s: the correction ran %d times", name, n)
 		}
-		// The next one runs at a new holder.
+		// The next correction runs at a new replica.
 		next := a.Content.IDs[5] + "-next"
 		got := a.Correct(NewHTTPClient(eventTimeout), a.Frontends[0].Addr("sru"), next)
 		runs := a.CorrectionRuns()[next]
 		runsAtNew := a.Stores["n3"].CorrectionRuns()[next] + a.Stores["n4"].CorrectionRuns()[next]
 		if got != client.Complete || runs != 1 || runsAtNew != 1 {
-			t.Errorf("%s: the next one: %v, ran %d times, %d at the new holders", name, got, runs, runsAtNew)
+			t.Errorf("%s: the next correction: %v, ran %d times, %d at the new replicas", name, got, runs, runsAtNew)
 		}
 	}
 }
 
-// A frontend gets no map while its shards migrate: the old holders reject its parts, it polls the source, which has
-// nothing new either; with the map it goes on. Nothing runs twice.
+// A frontend receives the map of a migration with a delay: the previous replicas reject its parts, and polling the
+// source does not help yet. It must recover with the map, and no correction may run twice.
 func TestFrontend_LateMap(t *testing.T) {
 	a := startArchive(t, Options{
 		Seed:                 4,
@@ -181,7 +182,7 @@
 		t.Errorf("%v, ran %d times", got, runs)
 	}
 	if a.Stores["n0"].RejectedParts()+a.Stores["n1"].RejectedParts() == 0 {
-		t.Error("the old holders rejected nothing")
+		t.Error("the previous replicas rejected no parts")
 	}
 	a.waitForEpoch(t, 1, 4)
 	if got := a.Search(NewHTTPClient(eventTimeout), a.Frontends[1].Addr("sru"), "captions"); !got.isExact() {
@@ -189,7 +190,8 @@
 	}
 }
 
-// A Z39.50 result set made before a split, a migration and a merge is paged after each: the same records, in order.
+// A Z39.50 result set that is created before a split, migrations and a merge must return the same records in order
+// after each of them.
 func TestResultSet_AcrossResharding(t *testing.T) {
 	a := startArchive(t, Options{Seed: 5, ReplicaCount: 4, ShardCount: 2})
 	origin, err := client.Dial(a.Frontends[0].Addr("z3950"), "editor", eventTimeout)
@@ -227,8 +229,8 @@
 	page(1)
 }
 
-// A source that fails, answers garbage, goes back, forks, or has another archive's map changes nothing; a later good
-// map is adopted, over a gap.
+// A frontend must retain its map when the source fails, or sends invalid data, an older epoch, a different map of the
+// same epoch, or the map of another archive. A later valid map is adopted, even after a gap in the epochs.
 func TestMapSource_BadMapsAreRefused(t *testing.T) {
 	a := startArchive(t, Options{Seed: 6})
 	web := NewHTTPClient(eventTimeout)
@@ -238,31 +240,31 @@
 			t.Errorf("%s: %+v", what, got)
 		}
 	}
-	now := a.Controller.Map()
-	good := withWeight(t, now, 2)
+	current := a.Controller.Map()
+	good := withWeight(t, current, 2)
 	a.Sources[0].Publish(2, good.Encode())
 	a.waitForEpoch(t, 0, 2)
-	for part, body := range map[string]string{
+	for errText, body := range map[string]string{
 		"not a map":       "<html>",
-		"older epoch":     string(now.Encode()),
-		"the same epoch":  string(withWeight(t, now, 9).Encode()),
+		"older epoch":     string(current.Encode()),
+		"the same epoch":  string(withWeight(t, current, 9).Encode()),
 		"another archive": strings.Replace(string(good.Encode()), `"captions"`, `"other"`, 1),
 		"in no block": `{"archive":"captions","epoch":9,"next_id":9,"blocks":[` +
 			`{"id":1,"from":"","to":"m@2000","state":"serving","holders":[{"server":"n0"}]}]}`,
 		"status 500": "",
 	} {
-		refused := a.nextRefusal(part)
+		refused := a.nextRefusal(errText)
 		status := 200
-		if part == "status 500" {
+		if errText == "status 500" {
 			status = 500
 		}
 		a.Sources[0].SetFault(func() (int, []byte) { return status, []byte(body) })
 		select {
 		case <-refused:
 		case <-time.After(eventTimeout):
-			t.Fatalf("%s: not refused", part)
+			t.Fatalf("%s: the map was not refused", errText)
 		}
-		checkComplete(part)
+		checkComplete(errText)
 	}
 	a.Sources[0].SetFault(nil)
 	a.Sources[0].Publish(5, threeEpochsLater(t, good).Encode())
@@ -274,7 +276,8 @@
 	}
 }
 
-// nextRefusal returns a channel that gets the next refusal of a map by the first frontend whose error contains a text.
+// nextRefusal returns a channel that receives the first frontend's next refusal of a map with an error that contains a
+// text.
 func (a *Archive) nextRefusal(text string) <-chan deployment.Event {
 	return a.Events[0].Next(func(event deployment.Event) bool {
 		refused := event.Msg == "map refused, the present one stays"
@@ -282,7 +285,7 @@
 	})
 }
 
-// withWeight is the map of the next epoch, in which shard 1 has another weight.
+// withWeight returns the map of the next epoch, with another weight of shard 1.
 func withWeight(t *testing.T, m *shardmap.Map, weight float64) *shardmap.Map {
 	t.Helper()
 	shard := *m.Shard(1)
@@ -294,7 +297,7 @@
 	return next
 }
 
-// threeEpochsLater is a map after three changes.
+// threeEpochsLater returns the map after three changes.
 func threeEpochsLater(t *testing.T, m *shardmap.Map) *shardmap.Map {
 	t.Helper()
 	later := m
@@ -302,13 +305,13 @@
 		later = withWeight(t, later, later.Shard(1).Weight+1)
 	}
 	if later.Epoch != m.Epoch+3 {
-		t.Fatalf("epoch %d after three changes of epoch %d", later.Epoch, m.Epoch)
+		t.Fatalf("epoch %d after three changes since epoch %d", later.Epoch, m.Epoch)
 	}
 	return later
 }
 
-// The controller is killed before each of its steps in turn; the next one continues from what was persisted. Every
-// answer in between is exact, and the plan ends where it should.
+// The controller is killed before each of its steps in turn, and a new one continues from the persisted state. Every
+// answer in between must be exact, and the plan must be completed.
 func TestController_KilledBeforeEveryStep(t *testing.T) {
 	a := startArchive(t, Options{Seed: 7, ReplicaCount: 4, ShardCount: 2})
 	web := NewHTTPClient(eventTimeout)
@@ -333,10 +336,10 @@
 			t.Fatal(err)
 		}
 		for n, done := 0, false; !done; n++ {
-			left := n
+			remaining := n
 			killed := func(string) bool {
-				left--
-				return left < 0
+				remaining--
+				return remaining < 0
 			}
 			err := a.StartController(nil, killed)
 			if err == nil {
@@ -361,7 +364,8 @@
 	}
 }
 
-// The last good map is persisted, and serves a start without a source; an older one from the source is refused then.
+// The last known good map is persisted, and is used by a start while the source fails. An older map from the source is
+// refused afterwards.
 func TestFrontend_StartsFromThePersistedMap(t *testing.T) {
 	a := startArchive(t, Options{Seed: 8, ReplicaCount: 4, ShardCount: 2, PersistMaps: true})
 	p, err := shardmap.PlanMigration(a.Controller.Map(), 1, []string{"n2", "n3"}, shardmap.Timing{})
@@ -403,7 +407,7 @@
 	}
 }
 
-// A replica that rejects what it holds is ejected; searches stay complete.
+// A replica that rejects parts for shards it holds must be ejected, and searches must stay complete.
 func TestReplica_RejectsWhatItHolds_IsEjected(t *testing.T) {
 	a := startArchive(t, Options{Seed: 9})
 	a.Stores["n1"].SetRejection("not mine since epoch 1")
@@ -419,5 +423,5 @@
 		default:
 		}
 	}
-	t.Error("the replica is not ejected")
+	t.Error("the replica was not ejected")
 }
--- a/internal/testbed/resharding/run.go
+++ b/internal/testbed/resharding/run.go
@@ -15,23 +15,23 @@
 	"rooktrestle/internal/testbed/client"
 )
 
-// Load describes a run of callers.
+// Load configures the load on an archive.
 type Load struct {
-	Rate float64 // calls a second over all frontends; arrivals are a Poisson process
+	Rate float64 // calls per second over all frontends; arrivals are a Poisson process
 	Seed uint64
 }
 
-// Report is what callers got. Its fields may be read once the load has ended.
+// Report contains the results of a load. Its fields may be read after the load has been stopped.
 type Report struct {
 	mu                 sync.Mutex
 	Outcomes           map[string][client.Disconnected + 1]int // by kind of call
 	Violations         []string
 	Calls              int
 	latencies          *hdrhistogram.Histogram   // in microseconds, from the intended times
-	correctionOutcomes map[string]client.Outcome // as callers got them, by the correction's identifier
+	correctionOutcomes map[string]client.Outcome // as reported to the callers, by the correction's identifier
 }
 
-// Count adds up the outcomes of all kinds.
+// Count returns the number of calls of all kinds by outcome.
 func (r *Report) Count() (total [client.Disconnected + 1]int) {
 	for _, counts := range r.Outcomes {
 		for outcome, count := range counts {
@@ -41,13 +41,13 @@
 	return total
 }
 
-// Answered is the fraction of the calls that was answered, completely or in part.
+// Answered returns the fraction of the calls with a complete or partial answer.
 func (r *Report) Answered() float64 {
 	counts := r.Count()
 	return float64(counts[client.Complete]+counts[client.Partial]) / float64(max(1, r.Calls))
 }
 
-// Quantile is a percentile (0 to 100) of the calls' latencies.
+// Quantile returns a percentile (0 to 100) of the calls' latencies.
 func (r *Report) Quantile(q float64) time.Duration {
 	return time.Duration(r.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
@@ -59,17 +59,17 @@
 	counts[out]++
 	r.Outcomes[kind] = counts
 	r.Calls++
-	// A latency over the histogram's range cannot be recorded: no call takes as long, as callers give up.
+	// Recording fails only for a latency over the histogram's range, which no call reaches, because callers time out.
 	_ = r.latencies.RecordValue(max(1, int64(latency/time.Microsecond)))
 	if violation != "" && len(r.Violations) < maxViolations {
 		r.Violations = append(r.Violations, kind+": "+violation)
 	}
 }
 
-// callTimeout is when callers give up.
+// callTimeout is the callers' timeout.
 const callTimeout = 10 * time.Second
 
-// maxViolations bounds the violations that a report keeps.
+// maxViolations is the maximum number of violations that a report retains of answers.
 const maxViolations = 100
 
 // Range and precision of the histogram of latencies.
@@ -78,36 +78,37 @@
 	significantDigits = 3
 )
 
-// Streams of random numbers: of the load, and of the plans.
+// Random streams of the load and of the plans.
 const (
 	loadStream = 21
 	planStream = 31
 )
 
-// Fractions of the kinds of calls, added up. A sample from 0 to 1 that is below none of them stands for a correction.
+// Cumulative fractions of the kinds of calls. A sample from 0 to 1 that is not below any of them selects a correction.
 const (
 	searchThreshold      = 0.45
 	z3950SearchThreshold = 0.6
 	reportThreshold      = 0.75
 )
 
-// StartLoad calls the frontends until stop is called, which waits for the calls in flight and compares the outcomes of
-// corrections with what ran. stop may be called more than once, but the comparison is made each time.
+// StartLoad calls the frontends until stop is called. stop waits for the calls in flight, and checks the reported
+// outcomes of the corrections against the corrections that ran. It may be called more than once, but repeats this check
+// each time.
 func (a *Archive) StartLoad(load Load) (report *Report, stop func()) {
 	report = &Report{
 		Outcomes:           map[string][client.Disconnected + 1]int{},
 		latencies:          hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
 		correctionOutcomes: map[string]client.Outcome{},
 	}
-	quit := make(chan struct{})
+	stopRequested := make(chan struct{})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.generateLoad(load, report, quit)
+		a.generateLoad(load, report, stopRequested)
 	}()
 	var once sync.Once
 	return report, func() {
-		once.Do(func() { close(quit) })
+		once.Do(func() { close(stopRequested) })
 		<-ended
 		report.checkCorrections(a)
 	}
@@ -140,7 +141,7 @@
 			kind:         kind,
 			correctionID: fmt.Sprintf("%s-%d-%d", recordID, load.Seed, n),
 		}
-		calls.Go(c.make)
+		calls.Go(c.execute)
 	}
 }
 
@@ -151,12 +152,12 @@
 	web          *http.Client
 	frontend     *app.PartnersDeployment
 	intended     time.Time
-	kind         float64 // drawn evenly from 0 to 1
+	kind         float64 // drawn uniformly from 0 to 1
 	correctionID string
 }
 
-// make makes the call and reports it.
-func (c *call) make() {
+// execute makes the call and adds it to the report.
+func (c *call) execute() {
 	sru := c.frontend.Addr("sru")
 	switch {
 	case c.kind < searchThreshold:
@@ -172,7 +173,7 @@
 	}
 }
 
-// add reports what the call came to; its latency is from the intended time until now.
+// add adds the result of the call to the report; its latency is from the intended time until now.
 func (c *call) add(kind string, answer Answer) {
 	c.report.add(kind, time.Since(c.intended), answer.Outcome, answer.Violation)
 }
@@ -183,8 +184,8 @@
 	r.correctionOutcomes[id] = out
 }
 
-// checkCorrections compares the outcomes of corrections with what ran: none ran twice, one that is reported done ran
-// once, and one that is reported rejected did not run.
+// checkCorrections checks that no correction ran twice, that each correction reported complete ran once, and that no
+// correction reported rejected ran.
 func (r *Report) checkCorrections(a *Archive) {
 	ran := a.CorrectionRuns()
 	for id, out := range r.correctionOutcomes {
@@ -193,9 +194,9 @@
 		case runs > 1:
 			violation = fmt.Sprintf("correct: %s ran %d times", id, runs)
 		case out == client.Complete && runs != 1:
-			violation = fmt.Sprintf("correct: %s is reported done, and ran %d times", id, runs)
+			violation = fmt.Sprintf("correct: %s is reported complete, but ran %d times", id, runs)
 		case out == client.Rejected && runs != 0:
-			violation = fmt.Sprintf("correct: %s is reported rejected, and ran", id)
+			violation = fmt.Sprintf("correct: %s is reported rejected, but ran", id)
 		}
 		if violation != "" {
 			r.Violations = append(r.Violations, violation)
@@ -203,7 +204,7 @@
 	}
 }
 
-// searchZ3950 searches over Z39.50 and presents the first records, which must be those of the archive.
+// searchZ3950 searches over Z39.50, retrieves the first records, and compares them with the archive.
 func (a *Archive) searchZ3950(addr string) Answer {
 	origin, err := client.Dial(addr, "", callTimeout)
 	if err != nil {
@@ -216,7 +217,7 @@
 	return a.presentPage(origin, "s", 1, 8)
 }
 
-// presentPage presents so many records of a result set from the one numbered start on, and compares them with the
+// presentPage retrieves count records of a result set, beginning with record number start, and compares them with the
 // archive.
 func (a *Archive) presentPage(origin *client.Origin, set string, start, count int) Answer {
 	response, err := origin.RoundTrip(ber.PresentAPDU(set, start, count))
@@ -233,13 +234,13 @@
 	return Answer{Outcome: client.Failed}
 }
 
-// temporaryError is a Bib-1 diagnostic: the frontend rejects the request.
+// temporaryError is the Bib-1 diagnostic with which the frontend rejects a request.
 const temporaryError = 2
 
-// checkPage compares the identifiers of a page with the archive's.
+// checkPage compares the identifiers of a page with those of the archive. It returns the first difference; empty: none.
 func (a *Archive) checkPage(ids []string, start, count int) (violation string) {
 	if len(ids) != count {
-		return fmt.Sprintf("%d records of %d", len(ids), count)
+		return fmt.Sprintf("%d records instead of %d", len(ids), count)
 	}
 	for i, id := range ids {
 		if want := a.Content.IDs[start-1+i]; id != want {
@@ -249,8 +250,8 @@
 	return ""
 }
 
-// Reshard carries out random plans, one after the other, each begun interval after the last, until stop is closed or
-// limit plans are done (0: no limit). It returns how many plans of each kind were done.
+// Reshard carries out random plans in sequence, at least interval from the start of one to the start of the next, until
+// stop is closed or limit plans are completed (0: no limit). It returns the number of completed plans by kind.
 func (a *Archive) Reshard(
 	stop <-chan struct{}, interval time.Duration, limit int, seed uint64,
 ) (done map[string]int, err error) {
@@ -287,14 +288,14 @@
 	kindMerge     = "merge"
 )
 
-// Fractions of the kinds of plans, added up, while there are few shards. With many, merges replace splits.
+// Cumulative fractions of the kinds of plans while there are few shards. With many shards, merges replace splits.
 const (
 	migrationThreshold = 0.4
 	splitThreshold     = 0.75
 )
 
-// randomPlan draws a plan for the current map: splits are likelier while there are few shards, and merges while there
-// are many. plan is nil if the draw makes no plan.
+// randomPlan draws a plan for the current map, with splits while there are few shards and merges while there are many.
+// plan is nil if the drawn change is not possible.
 func (a *Archive) randomPlan(rng *rand.Rand) (kind string, plan *shardmap.Plan) {
 	current := a.Controller.Map()
 	var shards []*shardmap.Shard
@@ -323,11 +324,11 @@
 	return a.migrate(m, shard, replicas)
 }
 
-// migrate plans to move a shard to other replicas.
+// migrate plans the migration of a shard to other replicas.
 func (a *Archive) migrate(m *shardmap.Map, shard *shardmap.Shard, replicas []string) (string, *shardmap.Plan) {
 	plan, err := shardmap.PlanMigration(m, shard.ID, replicas, a.Timing)
 	if err != nil {
-		return "", nil // they hold it already
+		return "", nil // these replicas already hold the shard
 	}
 	return kindMigration, plan
 }
@@ -337,16 +338,16 @@
 	if len(records) < 2 {
 		return "", nil
 	}
-	firstKey := shardmap.Key(keyOf(records[1+rng.IntN(len(records)-1)])) // of the second half
+	firstKey := shardmap.Key(keyOf(records[1+rng.IntN(len(records)-1)])) // first key of the second half
 	plan, err := shardmap.PlanSplit(m, shard.ID, []shardmap.Key{firstKey}, a.Timing)
 	if err != nil {
-		return "", nil // the key is the shard's first
+		return "", nil // the key is the first key of the shard
 	}
 	return kindSplit, plan
 }
 
-// merge plans to merge the first neighbours from a shard on that have the same holders. Where there are none, it plans
-// to move the shard to the holders of the next.
+// merge plans to merge the first pair of adjacent shards with the same replicas, beginning at a shard. If there is
+// none, it plans to migrate the shard to the replicas of its successor in key order.
 func (a *Archive) merge(m *shardmap.Map, shards []*shardmap.Shard, index int) (string, *shardmap.Plan) {
 	for offset := range shards {
 		left := (index + offset) % len(shards)
--- a/internal/testbed/resharding/setup.go
+++ b/internal/testbed/resharding/setup.go
@@ -1,7 +1,6 @@
 package resharding
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -19,23 +18,23 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// Options of an archive. It embeds them, so that they can be read later; they do not change.
+// Options configures an archive. Archive embeds them; they do not change after Start.
 type Options struct {
 	Seed                 uint64
-	ReplicaCount         int           // every second one speaks Z39.50
-	ShardCount           int           // at the start; each is held by two replicas
-	FrontendCount        int           // aggregators; each gets maps from a source of its own
-	LastFrontendMapDelay time.Duration // by which the last frontend gets maps late
-	CopiesPerSecond      float64       // chunks copied to joining replicas, all together; 0: defaultCopyRate
+	ReplicaCount         int           // every second one uses Z39.50
+	ShardCount           int           // at the start; each shard has two replicas
+	FrontendCount        int           // aggregators, each with its own map source
+	LastFrontendMapDelay time.Duration // of the maps to the last frontend
+	CopiesPerSecond      float64       // chunks copied to joining replicas, in total; 0: defaultCopyRate
 	Records              int
-	PersistMaps          bool // frontends persist the last good map
+	PersistMaps          bool // frontends persist the last known good map
 	Timing               shardmap.Timing
 	Delay                time.Duration // of an answer
 	Log                  slog.Handler
-	ExtraClassConfig     string // more keys of the operators' file, for the class of searches
+	ExtraClassConfig     string // further keys of the operators' file for the class of searches
 }
 
-// Archive is a running archive whose shards change.
+// Archive is a running archive with resharding.
 type Archive struct {
 	Options
 	Content    *Content
@@ -55,11 +54,11 @@
 // defaultCopyRate is used where Options.CopiesPerSecond is 0.
 const defaultCopyRate = 2000
 
-// firstMapTimeout is how long a frontend may take to adopt its first map.
+// firstMapTimeout is the maximum time until a frontend has adopted its first map.
 const firstMapTimeout = 30 * time.Second
 
 // Start starts an archive: replicas, map sources, the controller with its first map, and the frontends, which have
-// adopted that map when Start returns. The caller stops it.
+// adopted that map when Start returns. The caller must call Stop.
 func Start(options Options) (a *Archive, err error) {
 	a = &Archive{
 		Options: options,
@@ -76,14 +75,14 @@
 	if a.Dir, err = os.MkdirTemp("", "resharding"); err != nil {
 		return a, err
 	}
-	steps := []func() error{
+	startSteps := []func() error{
 		a.startReplicas,
 		a.startSources,
 		a.startCopier,
 		a.publishFirstMap,
 		a.startFrontends,
 	}
-	for _, step := range steps {
+	for _, step := range startSteps {
 		if err = step(); err != nil {
 			return a, err
 		}
@@ -140,7 +139,7 @@
 func (a *Archive) publishFirstMap() error {
 	first, err := a.firstMap()
 	if err != nil {
-		return fmt.Errorf("make the first map: %w", err)
+		return fmt.Errorf("create the first shard map: %w", err)
 	}
 	return a.StartController(first, nil)
 }
@@ -154,7 +153,7 @@
 	return nil
 }
 
-// startFrontend starts a frontend and waits until it has adopted a map.
+// startFrontend starts a frontend and waits until it has adopted its first map.
 func (a *Archive) startFrontend(index int, source *MapSource) error {
 	events := &deployment.Events{}
 	events.ForwardTo(a.Log)
@@ -178,12 +177,12 @@
 	case <-adopted:
 		return nil
 	case <-time.After(firstMapTimeout):
-		return errors.New("it has no map")
+		return fmt.Errorf("no shard map was adopted within %v", firstMapTimeout)
 	}
 }
 
-// StartController starts a new controller on the persisted state, as after a crash; first is the map where none is
-// persisted, and killed, if not nil, kills it before a step.
+// StartController starts a new controller from the persisted state, as after a crash; first is the map if none is
+// persisted, and killed, if not nil, is its KillBefore.
 func (a *Archive) StartController(first *shardmap.Map, killed func(step string) bool) (err error) {
 	a.Controller, err = NewController(a.Dir, first, Controller{
 		Stores:     a.Stores,
@@ -195,7 +194,7 @@
 	return err
 }
 
-// publish passes a map to every source, to the last one late.
+// publish publishes a map at every source, at the last one after LastFrontendMapDelay.
 func (a *Archive) publish(epoch uint64, text []byte) {
 	delaysLast := a.LastFrontendMapDelay > 0 && epoch > 1
 	for i, source := range a.Sources {
@@ -209,7 +208,7 @@
 	}
 }
 
-// firstMap cuts the keys into shards of about the same size.
+// firstMap divides the keys into shards of about the same size.
 func (a *Archive) firstMap() (*shardmap.Map, error) {
 	keys := a.Content.keys()
 	count := min(a.ShardCount, len(keys))
@@ -234,7 +233,7 @@
 	return shardmap.New("captions", 1, shardmap.ID(count+1), shards)
 }
 
-// CorrectionRuns are how often each correction ran, on all replicas together.
+// CorrectionRuns returns how often each correction ran, on all replicas in total.
 func (a *Archive) CorrectionRuns() map[string]int {
 	all := map[string]int{}
 	for _, store := range a.Stores {
@@ -245,10 +244,10 @@
 	return all
 }
 
-// DuplicateCorrections lists the corrections that ran more than once.
+// DuplicateCorrections returns the corrections that ran more than once.
 func (a *Archive) DuplicateCorrections() []string { return invariants.Duplicates(a.CorrectionRuns()) }
 
-// Stop ends the archive and removes its files.
+// Stop stops the archive and removes its files.
 func (a *Archive) Stop() {
 	a.Archive.Close()
 	if a.stop != nil {
@@ -267,6 +266,6 @@
 		server.Kill()
 	}
 	if a.Dir != "" {
-		_ = os.RemoveAll(a.Dir) // what is left is a temporary folder
+		_ = os.RemoveAll(a.Dir) // on an error a temporary folder remains
 	}
 }
--- a/internal/testbed/resharding/source.go
+++ b/internal/testbed/resharding/source.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// MapSource is a stand-in of an HTTP source of shard maps with long polling, and with faults. It is safe for concurrent
-// use.
+// MapSource is a stand-in for an HTTP source of shard maps with long polling, which can inject faults. It is safe for
+// concurrent use.
 type MapSource struct {
 	listener net.Listener
 	web      *http.Server
@@ -17,12 +17,12 @@
 	mu      sync.Mutex
 	text    []byte                           // the current map
 	epoch   uint64                           // of the current map; 0: there is none
-	changed chan struct{}                    // closed with each change of the map or the fault
-	fault   func() (status int, body []byte) // answers in place of the map; nil: no fault
+	changed chan struct{}                    // closed and replaced when the map or the fault changes
+	fault   func() (status int, body []byte) // returns the answer instead of the map; nil: no fault
 	polls   int
 }
 
-// NewMapSource starts a source without a map.
+// NewMapSource starts a source that has no map yet.
 func NewMapSource() (*MapSource, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,17 +30,17 @@
 	}
 	s := &MapSource{listener: listener, changed: make(chan struct{})}
 	s.web = &http.Server{Handler: s}
-	go func() { _ = s.web.Serve(listener) }() // it ends with Close
+	go func() { _ = s.web.Serve(listener) }() // Close ends it
 	return s, nil
 }
 
-// Addr is where the source listens.
+// Addr returns the address of the listener.
 func (s *MapSource) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the source.
-func (s *MapSource) Close() { _ = s.web.Close() } // nothing is lost with it
+// Close stops the source.
+func (s *MapSource) Close() { _ = s.web.Close() } // no written data depends on it
 
-// Publish makes a text the current map.
+// Publish replaces the current map by an encoded map.
 func (s *MapSource) Publish(epoch uint64, text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,13 +49,13 @@
 	s.notifyChange()
 }
 
-// notifyChange wakes the polls that wait. It is called with the lock held.
+// notifyChange wakes the waiting polls. The caller must hold the lock.
 func (s *MapSource) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetFault makes the source answer with what answer returns; nil ends it.
+// SetFault makes the source send the result of answer instead of the map; nil ends the fault.
 func (s *MapSource) SetFault(answer func() (status int, body []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,16 +63,16 @@
 	s.notifyChange()
 }
 
-// Polls is how often the source was polled.
+// Polls returns the number of polls that the source has received.
 func (s *MapSource) Polls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.polls
 }
 
-// ServeHTTP answers a long poll.
+// ServeHTTP answers a long poll: it waits for an epoch newer than the parameter after, for at most the parameter wait.
 func (s *MapSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// A parameter that cannot be read is 0: the current map is sent at once, or the poll does not wait.
+	// A missing or invalid parameter is 0: the current map is sent immediately, or the poll does not wait.
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	end := time.After(wait)
@@ -90,10 +90,10 @@
 		case fault != nil:
 			status, body := fault()
 			w.WriteHeader(status)
-			_, _ = w.Write(body) // a client that has left needs none
+			_, _ = w.Write(body) // an error means that the client has disconnected
 			return
 		case epoch > after:
-			_, _ = w.Write(text) // a client that has left needs none
+			_, _ = w.Write(text) // an error means that the client has disconnected
 			return
 		}
 		select {
