--- a/internal/testbed/sim/aggregator.go
+++ b/internal/testbed/sim/aggregator.go
@@ -25,7 +25,7 @@
 // maxDeadline is the longest deadline of a class.
 const maxDeadline = 4 * time.Second
 
-// classes are the settings of the classes, by class.
+// classes returns the settings of the classes, by class.
 func classes() []balance.Class {
 	return []balance.Class{
 		search: {
@@ -57,28 +57,28 @@
 	}
 }
 
-// aggregatorHost drives a real core: it collects the events of a moment, hands them over in one turn, and carries out
-// the core's commands.
+// aggregatorHost runs a real core: it collects the events of a moment, passes them to the core in one turn, and carries
+// out the core's commands.
 type aggregatorHost struct {
 	world             *world
 	index             int
 	core              *aggregator.Core
 	balancerSettings  balance.Settings
 	inbox             []aggregator.Event
-	turnScheduled     bool // a turn is due now
+	turnScheduled     bool // a turn is scheduled for the current moment
 	nextWake          time.Time
 	attempts          map[aggregator.AttemptID]*attempt
-	sendOrder         []*attempt                    // the attempts in the order of sending, with some that have ended
-	removalNotifiedAt map[balance.Replica]time.Time // when it learned that a replica drains or is removed
+	sendOrder         []*attempt                    // attempts in the order of sending, including some that have ended
+	removalNotifiedAt map[balance.Replica]time.Time // when it was notified that a replica drains or is removed
 	endpointStates    map[balance.Replica]balance.EndpointState
 	healthTable       *health.Table
 	healthLimits      map[balance.Replica]balance.HealthLimits
 	zone              int
 	incarnation       int // of its process; the first is 1
 	crashed           bool
-	watcher           *watcher // nil: endpointFeed passes changes of the endpoint list
+	watcher           *watcher // nil: endpointFeed passes the changes of the endpoint list
 	openRequests      map[*clientRequest]bool
-	notifiedStarts    map[balance.Replica]time.Time // start times of the replicas' processes that it has learned of
+	notifiedStarts    map[balance.Replica]time.Time // start times of the replicas' processes of which it was notified
 }
 
 // newAggregatorHost starts the first process of an aggregator, whose zone follows from its index.
@@ -93,7 +93,7 @@
 	return h, h.start()
 }
 
-// start begins a new process of the aggregator. It starts from the endpoint list that the previous one had at its end.
+// start starts a new process of the aggregator, with the endpoint list that the previous process had at its end.
 func (h *aggregatorHost) start() error {
 	previousStates := h.endpointStates
 	h.incarnation++
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// resetState drops what a process loses at its end.
+// resetState discards the state that a process loses when it stops.
 func (h *aggregatorHost) resetState() {
 	h.inbox = nil
 	h.turnScheduled = false
@@ -125,7 +125,7 @@
 	h.healthLimits = map[balance.Replica]balance.HealthLimits{}
 }
 
-// newCore makes the core of a new process.
+// newCore creates the core of a new process.
 func (h *aggregatorHost) newCore() error {
 	h.balancerSettings = h.newBalancerSettings()
 	balancer, err := balance.New(h.balancerSettings)
@@ -166,7 +166,7 @@
 		Tenants:         []balance.Tenant{{}},
 		Zone:            h.zone,
 	}
-	if h.incarnation > 1 { // a new process has random samples of its own
+	if h.incarnation > 1 { // each process draws different random samples
 		settings.Seed += uint64(h.incarnation) << 32
 	}
 	if w.Warmup.Period > 0 && w.InjectedBug != BugWarmupIgnored {
@@ -186,8 +186,8 @@
 	return settings
 }
 
-// applyInitialList gives the aggregator its first endpoint list: the replicas that its previous process had in service;
-// all replicas for its first process.
+// applyInitialList passes the first endpoint list to the aggregator: the replicas that its previous process had in
+// service, or all replicas for its first process.
 func (h *aggregatorHost) applyInitialList(previousStates map[balance.Replica]balance.EndpointState) error {
 	w := h.world
 	list := aggregator.EndpointsChanged{Kind: balance.ListFull}
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// crash ends the aggregator's process: clients and replicas see their connections end.
+// crash stops the aggregator's process: its connections to clients and replicas are closed.
 func (h *aggregatorHost) crash() {
 	h.crashed = true
 	for _, a := range h.sendOrder {
@@ -236,13 +236,13 @@
 	clear(h.openRequests)
 }
 
-// applyEndpoint takes an entry of the endpoint list that has arrived.
+// applyEndpoint applies an entry of the endpoint list that has arrived.
 func (h *aggregatorHost) applyEndpoint(entry endpointEntry) {
 	h.endpointStates[entry.replica.id] = entry.state
 	h.recordNotified(entry)
 }
 
-// recordNotified notes that the aggregator knows an entry: from now on the checker holds it to that.
+// recordNotified records that the aggregator was notified of an entry: from now on the checker requires it to comply.
 func (h *aggregatorHost) recordNotified(entry endpointEntry) {
 	id := entry.replica.id
 	if entry.state == balance.InService {
@@ -255,7 +255,7 @@
 	}
 }
 
-// endpoint is a replica's entry in the aggregator's endpoint list.
+// endpoint returns a replica's entry in the aggregator's endpoint list.
 func (h *aggregatorHost) endpoint(r *replica) aggregator.Server {
 	return aggregator.Server{
 		HealthLimits: h.healthLimits[r.id],
@@ -269,7 +269,7 @@
 	}
 }
 
-// post puts an event into the inbox for the turn of this moment.
+// post adds an event to the inbox for the turn of the current moment.
 func (h *aggregatorHost) post(e aggregator.Event) {
 	if h.crashed {
 		return
@@ -286,7 +286,7 @@
 	}
 }
 
-// runTurn hands the core the events of this moment, and schedules the turn that the core asks for.
+// runTurn passes the events of the current moment to the core, and schedules the turn that the core requests.
 func (h *aggregatorHost) runTurn() {
 	if h.crashed {
 		return
@@ -304,7 +304,7 @@
 	}
 }
 
-// scheduleWake schedules a turn without an event. A later call replaces the moment.
+// scheduleWake schedules a turn without events. A later call replaces the previous one.
 func (h *aggregatorHost) scheduleWake(at time.Time) {
 	h.nextWake = at
 	incarnation := h.incarnation
@@ -316,7 +316,7 @@
 	})
 }
 
-// endpointPublished takes a change from endpointFeed.
+// endpointPublished handles a change from endpointFeed.
 func (h *aggregatorHost) endpointPublished(r *replica, state balance.EndpointState) {
 	h.applyEndpoint(endpointEntry{replica: r, state: state, started: r.started})
 	if h.world.InjectedBug == BugDrainIgnored && state == balance.Draining {
--- a/internal/testbed/sim/check.go
+++ b/internal/testbed/sim/check.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// drainGrace is how long after an aggregator learned that a replica drains it may still send a new attempt there.
+	// drainGrace is the time after being notified that a replica drains or is removed in which an aggregator may still
+	// send new attempts to it.
 	drainGrace = 250 * time.Millisecond
 
-	// answerGrace is how long after its deadline a request may be answered.
+	// answerGrace is the time after its deadline in which a request may still be answered.
 	answerGrace = 20 * time.Millisecond
 
-	// fractionTolerance is for rounding errors in a sum of fractions.
+	// fractionTolerance allows for rounding errors in a sum of fractions.
 	fractionTolerance = 1e-9
 )
 
-// checker checks every step of a run against the rules that have to hold whatever happens.
+// checker checks the invariants of a run at every step.
 type checker struct {
 	world            *world
 	violations       []string
-	openRequests     map[string]*clientRequest      // by identifier, without a final answer
-	requests         map[string]*aggregator.Request // what the aggregator got for each of openRequests
+	openRequests     map[string]*clientRequest      // requests without a final answer, by identifier
+	requests         map[string]*aggregator.Request // what the aggregator received for each of openRequests
 	finalAnswers     map[string]int                 // by the request's identifier
 	correctionRuns   map[string]int                 // how often each correction ran, by its query
 	attemptsInFlight map[string]int                 // by aggregator and part
@@ -42,10 +43,10 @@
 	}
 }
 
-// maxViolations bounds the violations that are kept of one run.
+// maxViolations is the maximum number of violations that are recorded in one run.
 const maxViolations = 50
 
-// violate notes a violation with the present moment.
+// violate records a violation with the current time.
 func (c *checker) violate(format string, args ...any) {
 	if len(c.violations) == maxViolations {
 		return
@@ -59,11 +60,11 @@
 	c.requests[sent.id] = request
 }
 
-// attemptKey names a part of a request within its aggregator.
+// attemptKey identifies the part of an attempt within its aggregator.
 func attemptKey(a *attempt) string { return fmt.Sprintf("%d %s", a.host.index, a.call.Name) }
 
-// attemptSent checks that a part has one attempt at a time, none to a replica that is known to drain or to be
-// removed, and no more than MaxAttempts.
+// attemptSent checks that a part has one attempt in flight at a time, no attempt at a replica that the aggregator was
+// notified to be draining or removed, no more than MaxAttempts, and none after its request was answered.
 func (c *checker) attemptSent(sent *attempt) {
 	name := sent.call.Name
 	key := attemptKey(sent)
@@ -93,7 +94,7 @@
 	}
 }
 
-// correctionRan checks that no correction runs twice, over all retries of its client.
+// correctionRan counts the runs of a correction, and checks that it does not run twice, retries of its client included.
 func (c *checker) correctionRan(r *replica, a *attempt) {
 	if a.call.Class != correction {
 		return
@@ -109,14 +110,14 @@
 	}
 }
 
-// requestLost forgets a request whose aggregator crashed: it has no final answer.
+// requestLost removes a request whose aggregator crashed: it receives no final answer.
 func (c *checker) requestLost(request *clientRequest) {
 	delete(c.openRequests, request.id)
 	delete(c.requests, request.id)
 }
 
-// requestAnswered checks that a request has one final answer, in time, with the values of replicas only, marked
-// complete only if every part is in.
+// requestAnswered checks that a request receives one final answer in time, that a rejected correction has not run, and
+// the content of the answer.
 func (c *checker) requestAnswered(request *clientRequest, answer aggregator.FinalAnswer) {
 	c.finalAnswers[request.id]++
 	if c.finalAnswers[request.id] > 1 {
@@ -140,7 +141,8 @@
 	}
 }
 
-// checkContent checks the values of an answer, and whether it has as many as it needs.
+// checkContent checks that an answer has only values that replicas sent for its parts, is marked complete only with all
+// parts, and has the class's minimum fraction of the weight.
 func (c *checker) checkContent(request *clientRequest, answer aggregator.FinalAnswer) {
 	fraction := 0.0
 	for _, item := range answer.Items {
@@ -159,7 +161,7 @@
 	}
 }
 
-// checkQuiescence checks at the end of a run that no request, query or attempt is open.
+// checkQuiescence checks that no request, query or attempt is open at the end of a run.
 func (c *checker) checkQuiescence() {
 	for id := range c.openRequests {
 		c.violate("%s has no final answer", id)
--- a/internal/testbed/sim/client.go
+++ b/internal/testbed/sim/client.go
@@ -8,34 +8,34 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// query is one query of a client: its first request and all retries.
+// query is one query of a client: its first request and all its retries.
 type query struct {
 	class      int
 	parts      []aggregator.PartSpec
-	attempts   int // requests so far
+	attempts   int // requests sent so far
 	number     int
 	aggregator int
-	deadline   time.Time // by which the client gives up
-	objective  time.Time // an answer by then is within the latency objective
+	deadline   time.Time // of the client, for all its requests together
+	objective  time.Time // latest time of an answer within the latency objective
 }
 
-// clientRequest is one request of a query. It is the frontend that the core gives the final answer to.
+// clientRequest is one request of a query. It is the frontend to which the core passes the final answer.
 type clientRequest struct {
 	world     *world
 	query     *query
 	id        string
 	started   time.Time
-	partNames []string // of its parts
+	partNames []string // expected names of its parts
 }
 
-// Fractions of the queries; all others are searches.
+// Fractions of the queries by class; the remainder are searches.
 const (
 	reportFraction     = 0.22
 	correctionFraction = 0.22
 )
 
-// minRetryTimeLeft is how long before a query's deadline its client makes the last retry.
-const minRetryTimeLeft = 100 * time.Millisecond
+// minTimeToDeadline is the minimum time to a query's deadline for its client to retry.
+const minTimeToDeadline = 100 * time.Millisecond
 
 // queryArrives sends a new query and schedules the next.
 func (w *world) queryArrives() {
@@ -71,7 +71,7 @@
 	return q
 }
 
-// pickAggregator draws an aggregator for a client, by its weight.
+// pickAggregator draws the aggregator of a client, by the aggregators' weights.
 func (w *world) pickAggregator() int {
 	if w.TrafficSkew == 0 {
 		return w.rng.IntN(len(w.aggregators))
@@ -82,7 +82,7 @@
 	return min(index, last)
 }
 
-// arrivalRate is the present rate of queries, bursts included.
+// arrivalRate returns the current rate of queries, including bursts.
 func (w *world) arrivalRate() float64 {
 	rate := w.Rate
 	for i := range w.Faults {
@@ -118,7 +118,7 @@
 	}
 	w.checker.requestSent(c, request)
 	w.record("ask", uint64(query.number), uint64(query.attempts))
-	for w.aggregators[query.aggregator].crashed { // the connection is refused: the client goes to another
+	for w.aggregators[query.aggregator].crashed { // the connection is refused: the client uses another aggregator
 		query.aggregator = w.pickAggregator()
 	}
 	host := w.aggregators[query.aggregator]
@@ -129,12 +129,12 @@
 	}
 }
 
-// discardAnswer is the frontend of BugLostQuery.
+// discardAnswer is the frontend that BugLostQuery substitutes.
 type discardAnswer struct{}
 
 func (discardAnswer) Answer(aggregator.FinalAnswer) {}
 
-// Answer takes the final answer. A client whose request was rejected or failed may retry before the query's deadline.
+// Answer handles the final answer. A client whose request was rejected or failed may retry before the query's deadline.
 func (c *clientRequest) Answer(answer aggregator.FinalAnswer) {
 	w := c.world
 	q := c.query
@@ -153,7 +153,7 @@
 	default:
 		w.result.Failed++
 		if q.class == correction {
-			return // it may have run, and is not idempotent
+			return // the correction may have run, and is not idempotent
 		}
 	}
 	c.retry()
@@ -175,7 +175,7 @@
 	w.result.Latencies = append(w.result.Latencies, w.now.Sub(c.started))
 }
 
-// connectionLost ends a request whose aggregator crashed: the client sees its connection end.
+// connectionLost ends a request whose aggregator crashed: the client's connection is closed.
 func (c *clientRequest) connectionLost() {
 	w := c.world
 	q := c.query
@@ -187,7 +187,7 @@
 	}
 }
 
-// retry schedules another request, if the client has retries and time left.
+// retry schedules another request, if the client has remaining retries and time.
 func (c *clientRequest) retry() {
 	w := c.world
 	q := c.query
@@ -196,7 +196,7 @@
 	}
 	delay := time.Duration((0.5 + 1.5*w.rng.Float64()) * float64(w.RetryDelay))
 	retryAt := w.now.Add(delay)
-	if retryAt.Before(q.deadline.Add(-minRetryTimeLeft)) {
+	if retryAt.Before(q.deadline.Add(-minTimeToDeadline)) {
 		w.at(retryAt, func() { w.sendRequest(q) })
 	}
 }
--- a/internal/testbed/sim/clock.go
+++ b/internal/testbed/sim/clock.go
@@ -12,14 +12,14 @@
 // StartTime is the first moment of virtual time.
 var StartTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is an action that is due at a moment of virtual time.
+// event is an action that is scheduled for a moment of virtual time.
 type event struct {
 	due    time.Time
-	seq    uint64 // events of one moment run in the order in which they were scheduled
+	seq    uint64 // orders the events of one moment by when they were scheduled
 	action func()
 }
 
-// events is a heap by time, then by sequence number.
+// events is a heap ordered by time, then by sequence number.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -43,7 +43,7 @@
 	return last
 }
 
-// clock is virtual time: the queue of scheduled events, and the trace of what has happened.
+// clock is the virtual clock, with the queue of scheduled events and the trace of the run.
 type clock struct {
 	now        time.Time
 	queue      events
@@ -52,15 +52,15 @@
 	trace      *xxhash.Digest
 	recordText bool
 	traceText  []string
-	buffer     [8]byte // of hashNumber
+	buffer     [8]byte // reused by hashNumber
 }
 
-// newClock returns a clock at Start; recordText also keeps the trace as text.
+// newClock returns a clock at Start; recordText makes it also record the trace as text.
 func newClock(recordText bool) clock {
 	return clock{now: StartTime, trace: xxhash.New(), recordText: recordText}
 }
 
-// at schedules an action; a moment that has passed counts as now.
+// at schedules an action for a moment; an action for a past moment runs at the current one.
 func (c *clock) at(t time.Time, action func()) {
 	if t.Before(c.now) {
 		t = c.now
@@ -69,13 +69,13 @@
 	heap.Push(&c.queue, event{due: t, seq: c.seq, action: action})
 }
 
-// after schedules an action for the moment when a duration has passed.
+// after schedules an action for when delay has elapsed.
 func (c *clock) after(delay time.Duration, action func()) { c.at(c.now.Add(delay), action) }
 
-// record adds an entry to the trace. The texts are part of the trace's hash, which tests and recorded runs compare.
+// record adds an entry to the trace. The text is part of the trace's hash, which tests and recorded runs compare.
 func (c *clock) record(what string, subject, detail uint64) {
 	c.hashNumber(uint64(c.now.Sub(StartTime)))
-	_, _ = c.trace.WriteString(what) // a hash does not fail
+	_, _ = c.trace.WriteString(what) // writes to a hash never fail
 	c.hashNumber(subject)
 	c.hashNumber(detail)
 	if c.recordText {
@@ -85,10 +85,10 @@
 
 func (c *clock) hashNumber(n uint64) {
 	binary.LittleEndian.PutUint64(c.buffer[:], n)
-	_, _ = c.trace.Write(c.buffer[:]) // a hash does not fail
+	_, _ = c.trace.Write(c.buffer[:]) // writes to a hash never fail
 }
 
-// run executes the events up to and including end.
+// run executes the events up to end, inclusive, and sets the clock to end.
 func (c *clock) run(end time.Time) {
 	for len(c.queue) > 0 && !c.queue[0].due.After(end) {
 		e := heap.Pop(&c.queue).(event)
--- a/internal/testbed/sim/days.go
+++ b/internal/testbed/sim/days.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Days of whole fleets: many aggregators under the faults that operators know.
+// Scenarios of complete fleets: many aggregators under faults that occur in operation.
 const (
-	dayCalm  = "calm"  // a burst only
-	dayHerd  = "herd"  // aggregators crash at once during a release, while discovery is unresponsive
-	dayZone  = "zone"  // a zone is lost and comes back warming up
-	daySplit = "split" // the zones do not reach each other
-	dayJoin  = "join"  // most replicas are replaced
+	scenarioCalm  = "calm"  // only a burst
+	scenarioHerd  = "herd"  // many aggregators crash at the same time during a release, while discovery is unresponsive
+	scenarioZone  = "zone"  // a zone fails, and restarts warming up
+	scenarioSplit = "split" // the zones are partitioned
+	scenarioJoin  = "join"  // most replicas are replaced
 )
 
-// ScenarioNames are the days that DaySettings draws.
-var ScenarioNames = []string{dayCalm, dayHerd, dayZone, daySplit, dayJoin}
+// ScenarioNames are the scenarios that ScenarioSettings accepts.
+var ScenarioNames = []string{scenarioCalm, scenarioHerd, scenarioZone, scenarioSplit, scenarioJoin}
 
-// minSearchParts is the least number of parts of a search: in the operators' archive a search reads a third of the
+// minSearchParts is the minimum number of parts of a search. In the operators' archive a search reads a third of the
 // shards.
 const minSearchParts = 4
 
-// ScenarioSettings draws the settings of a day by its seed: aggregators whose traffic is thin and uneven and who gossip,
-// replicas that warm up after a start, and endpoint lists from local agents or from one service short of capacity. It
-// fails for a day that is not in DayNames, and for fleets that are too small for a search.
+// ScenarioSettings draws the settings of a scenario by its seed: aggregators with low, uneven traffic and gossip,
+// replicas that warm up after a start, and endpoint lists from local agents or from a shared service with little
+// capacity. It fails for a scenario that is not in ScenarioNames, and for a fleet that is too small for a search.
 func ScenarioSettings(kind string, seed uint64, aggregators, replicas int) (Settings, error) {
 	if !slices.Contains(ScenarioNames, kind) {
-		return Settings{}, fmt.Errorf("day %q: there are %v", kind, ScenarioNames)
+		return Settings{}, fmt.Errorf("unknown scenario %q: must be one of %v", kind, ScenarioNames)
 	}
 	if aggregators < 2 || replicas < 2*minSearchParts {
-		return Settings{}, fmt.Errorf("%d aggregators, %d replicas: at least 2 and %d",
+		return Settings{}, fmt.Errorf("%d aggregators, %d replicas: must be at least 2 and %d",
 			aggregators, replicas, 2*minSearchParts)
 	}
-	rng := rand.New(rand.NewPCG(seed, dayStream))
+	rng := rand.New(rand.NewPCG(seed, scenarioStream))
 	s := Defaults(seed)
 	s.Aggregators = aggregators
 	s.Replicas = replicas
@@ -49,7 +49,7 @@
 		OverloadMultiple: 3,
 		OverloadPeriod:   400 * time.Millisecond,
 	}
-	// Three to five tenths of the capacity of all cores. A correction has one part, every other query SearchParts.
+	// 30% to 50% of the capacity of all cores. A correction has one part, every other query SearchParts.
 	load := 0.3 + 0.2*rng.Float64()
 	meanParts := (1-correctionFraction)*float64(s.SearchParts) + correctionFraction
 	s.Rate = load * float64(replicas*s.Cores) / s.MeanServiceTime.Seconds() / meanParts
@@ -62,15 +62,15 @@
 			MaxWait:   500 * time.Millisecond,
 		}
 	}
-	s.Faults = dayFaults(kind, replicas, rng)
+	s.Faults = scenarioFaults(kind, replicas, rng)
 	return s, nil
 }
 
-// dayFaults draws the faults of a day.
-func dayFaults(kind string, replicas int, rng *rand.Rand) []Fault {
+// scenarioFaults draws the faults of a scenario.
+func scenarioFaults(kind string, replicas int, rng *rand.Rand) []Fault {
 	from := 4*time.Second + time.Duration(rng.IntN(1000))*time.Millisecond
 	first := rng.IntN(replicas)
-	badReplicas := Fault{
+	faultyReplicas := Fault{
 		Kind:      []FaultKind{Hang, FastErrors}[rng.IntN(2)],
 		From:      from - time.Second,
 		Duration:  8 * time.Second,
@@ -78,28 +78,28 @@
 		Replicas:  replicas / 8,
 		Magnitude: 0.6,
 	}
-	firstReleased := first + replicas/8 // the bad replicas are not released
+	firstReleased := first + replicas/8 // the faulty replicas are not released
 	switch kind {
-	case dayHerd:
+	case scenarioHerd:
 		return []Fault{
-			badReplicas,
+			faultyReplicas,
 			{Kind: Release, From: from, Duration: 5 * time.Second, First: firstReleased, Replicas: replicas / 2},
 			{Kind: KillAggregators, From: from + 2*time.Second, Duration: 2 * time.Second, Magnitude: 0.7},
 			{Kind: DiscoveryOutage, From: from - time.Second, Duration: 4 * time.Second},
 		}
-	case dayZone:
+	case scenarioZone:
 		return []Fault{
-			badReplicas,
+			faultyReplicas,
 			{Kind: Outage, From: from, Duration: 5 * time.Second},
 		}
-	case daySplit:
+	case scenarioSplit:
 		return []Fault{
 			{Kind: Partition, From: from, Duration: 6 * time.Second},
 			{Kind: DiscoveryOutage, From: from, Duration: 4 * time.Second},
 		}
-	case dayJoin:
+	case scenarioJoin:
 		return []Fault{
-			badReplicas,
+			faultyReplicas,
 			{Kind: Release, From: from, Duration: 7 * time.Second, First: firstReleased, Replicas: replicas * 6 / 10},
 		}
 	}
--- a/internal/testbed/sim/days_test.go
+++ b/internal/testbed/sim/days_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// fleet plays a day of a small fleet; testbed days plays the sizes that operators have.
-func fleet(t *testing.T, kind string, seed uint64, planted Bug) Result {
+// runScenario runs a scenario with a small fleet; the command testbed days runs it with fleets of operational size.
+func runScenario(t *testing.T, kind string, seed uint64, injected Bug) Result {
 	t.Helper()
-	return loaded(t, kind, seed, planted, 1)
+	return runScenarioWithLoad(t, kind, seed, injected, 1)
 }
 
-// loaded plays a day of a small fleet with a multiple of its load.
-func loaded(t *testing.T, kind string, seed uint64, planted Bug, load float64) Result {
+// runScenarioWithLoad runs a scenario with a small fleet and a multiple of its load.
+func runScenarioWithLoad(t *testing.T, kind string, seed uint64, injected Bug, load float64) Result {
 	t.Helper()
 	s, err := ScenarioSettings(kind, seed, 12, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.InjectedBug = planted
+	s.InjectedBug = injected
 	s.Rate = load * s.Rate / 3
-	return play(t, s)
+	return mustRun(t, s)
 }
 
-// No day violates a rule, and each has its faults.
+// No scenario may violate an invariant, and the faults must have their effects.
 func TestDays_ViolateNoRule(t *testing.T) {
 	for _, kind := range ScenarioNames {
-		r := fleet(t, kind, 1, "")
+		r := runScenario(t, kind, 1, "")
 		if len(r.Violations) > 0 {
-			t.Errorf("%s: %d broken, the first %s", kind, len(r.Violations), r.Violations[0])
+			t.Errorf("%s: %d violations, the first: %s", kind, len(r.Violations), r.Violations[0])
 		}
 		if kind == "calm" && r.Goodput() < 0.95 {
 			t.Errorf("calm: %.3f answered", r.Goodput())
@@ -36,37 +36,37 @@
 	}
 }
 
-// Aggregators that ignore the warm-up make replicas collapse, and the checker finds it.
+// Aggregators that ignore the warm-up of replicas overload them until they crash, and the checker must detect this.
 func TestChecker_FindsOverloadedWarmingReplicas(t *testing.T) {
-	if honest := loaded(t, "join", 1, "", 6); len(honest.Violations) > 0 {
-		t.Errorf("%s", honest.Violations[0])
+	if withoutBug := runScenarioWithLoad(t, "join", 1, "", 6); len(withoutBug.Violations) > 0 {
+		t.Errorf("%s", withoutBug.Violations[0])
 	}
-	r := loaded(t, "join", 1, BugWarmupIgnored, 6)
+	r := runScenarioWithLoad(t, "join", 1, BugWarmupIgnored, 6)
 	if r.ReplicasOverloaded == 0 || !violates(r, "collapses under") {
-		t.Errorf("%d collapsed, violations: %v", r.ReplicasOverloaded, r.Violations)
+		t.Errorf("%d replicas overloaded, violations: %v", r.ReplicasOverloaded, r.Violations)
 	}
 }
 
-// The same seed gives the same trace with gossip, crashes, and polled endpoint lists.
+// The same seed must give the same trace, also with gossip, crashes, and polled endpoint lists.
 func TestDays_TraceDependsOnSeedOnly(t *testing.T) {
-	first := fleet(t, "herd", 2, "")
-	second := fleet(t, "herd", 2, "")
+	first := runScenario(t, "herd", 2, "")
+	second := runScenario(t, "herd", 2, "")
 	if first.Hash != second.Hash || first.Requests == 0 {
 		t.Errorf("%x, then %x", first.Hash, second.Hash)
 	}
 }
 
-// Aggregators that wait after their watches became unresponsive send to replicas that drain. It was seen at full
-// size, and is what control/listwatch guards against.
+// Aggregators that back off before they reopen an unresponsive watch send parts to draining replicas. The failure
+// occurred in fleets of full size, and control/listwatch guards against it; the checker must detect it.
 func TestChecker_FindsSendsToDrainingReplicas(t *testing.T) {
 	found := false
 	for seed := uint64(1); seed < 6 && !found; seed++ {
-		found = violates(fleet(t, "herd", seed, BugSlowReopen), "drain or removal was known")
-		if honest := fleet(t, "herd", seed, ""); len(honest.Violations) > 0 {
-			t.Errorf("seed %d: %s", seed, honest.Violations[0])
+		found = violates(runScenario(t, "herd", seed, BugSlowReopen), "drain or removal was known")
+		if withoutBug := runScenario(t, "herd", seed, ""); len(withoutBug.Violations) > 0 {
+			t.Errorf("seed %d: %s", seed, withoutBug.Violations[0])
 		}
 	}
 	if !found {
-		t.Error("no seed violates it")
+		t.Error("no seed gives the violation")
 	}
 }
--- a/internal/testbed/sim/discovery.go
+++ b/internal/testbed/sim/discovery.go
@@ -8,23 +8,24 @@
 	"rooktrestle/internal/control/listwatch"
 )
 
-// Discovery says how aggregators learn of the endpoint list. With the zero value endpointFeed tells each of them.
+// Discovery configures how aggregators receive the endpoint list. With the zero value, endpointFeed notifies each of
+// them.
 type Discovery struct {
 	Kind      string        `json:"Kind"`      // LocalAgents or SharedService; empty: endpointFeed
-	PerSecond float64       `json:"PerSecond"` // SharedService: polls that it answers a second
-	MaxWait   time.Duration `json:"Wait"`      // SharedService: a poll that would queue for longer is rejected
+	PerSecond float64       `json:"PerSecond"` // SharedService: polls that it answers per second
+	MaxWait   time.Duration `json:"Wait"`      // SharedService: polls that would be queued for longer are rejected
 }
 
-// Kinds of discovery, as the platform has them. The values stand in replay files.
+// Kinds of discovery on the platform. The values are stored in replay files.
 const (
-	LocalAgents   = "agents" // an agent on each aggregator's machine: what that has counts as known
-	SharedService = "shared" // one service that all aggregators poll
+	LocalAgents   = "agents" // an agent on each aggregator's machine; its changes count as known to the aggregator
+	SharedService = "shared" // a single service that all aggregators poll
 )
 
 const (
 	heartbeatInterval = 2 * time.Second // of a live watch
 
-	// After these times a change counts as known to an aggregator, whether or not it has arrived.
+	// After these times an aggregator counts as notified of a change, whether or not the change has arrived.
 	unresponsiveWatchDelay = 6 * time.Second  // since its watch became unresponsive
 	pollDelay              = 10 * time.Second // without a watch, with SharedService
 	rejectedPollDelay      = 40 * time.Second // after a rejected poll
@@ -38,11 +39,11 @@
 	started time.Time
 }
 
-// discoveryService keeps the endpoint list in versions, which aggregators watch.
+// discoveryService is the discovery service: the versions of the endpoint list, which aggregators watch.
 type discoveryService struct {
 	world         *world
-	log           []endpointEntry // entry i made version i + 1
-	unresponsive  bool            // polls get no answer, and watches that were open get no more changes
+	log           []endpointEntry // entry i is the change from version i to version i + 1
+	unresponsive  bool            // polls are not answered, and open watches receive no more changes
 	nextFree      time.Time       // of a shared service: when it can answer the next poll
 	pending       []func()        // answers to polls that arrived while it was unresponsive
 	polls         int
@@ -66,7 +67,7 @@
 	}
 }
 
-// setUnresponsive makes discovery unresponsive, or ends that.
+// setUnresponsive makes discovery unresponsive or responsive again.
 func (d *discoveryService) setUnresponsive(unresponsive bool) {
 	d.unresponsive = unresponsive
 	if !unresponsive {
@@ -84,8 +85,8 @@
 	}
 }
 
-// schedulePoll says when a poll that has arrived is answered: at once, or where the service is shared in the order of
-// arrival at its rate. accepted is false for a poll that the service rejects.
+// schedulePoll returns when a poll that has just arrived is answered: immediately, or by a shared service in the order
+// of arrival at the service's rate. accepted is false if the service rejects the poll.
 func (d *discoveryService) schedulePoll() (answeredAt time.Time, accepted bool) {
 	now := d.world.now
 	discovery := d.world.Discovery
@@ -104,21 +105,21 @@
 	return answeredAt, true
 }
 
-// watcher is an aggregator's watch of discovery: the decisions of control/listwatch, with the network simulated.
+// watcher is an aggregator's watch of discovery. control/listwatch decides when to reopen it; the network is simulated.
 type watcher struct {
 	service           *discoveryService
 	host              *aggregatorHost
 	schedule          *listwatch.Reconnector
-	callNumber        int  // of the present call; answers to earlier ones are dropped
-	live              bool // the present call has been answered
-	unresponsive      bool // the present call gets no answer and no more changes
+	callNumber        int  // of the current call; answers to previous ones are dropped
+	live              bool // the current call has been answered
+	unresponsive      bool // the current call receives no answer and no more changes
 	unresponsiveSince time.Time
 	lastPollRejected  bool
 	version           int // of the endpoint list that the aggregator has
 }
 
 func newWatcher(d *discoveryService, host *aggregatorHost) *watcher {
-	pollers := 0 // that share the service
+	pollers := 0 // number of aggregators that share the service
 	if d.world.Discovery.Kind == SharedService || d.world.InjectedBug == BugSlowReopen {
 		pollers = d.world.Aggregators
 	}
@@ -129,8 +130,8 @@
 	}
 }
 
-// start makes the first call of the aggregator's process. After a restart it counts as notified of what the local agent
-// has.
+// start makes the first call of an aggregator's process. After a restart, the aggregator counts as notified of the
+// changes that its local agent has.
 func (w *watcher) start() {
 	w.live = false
 	w.unresponsive = false
@@ -141,14 +142,14 @@
 	w.open()
 }
 
-// scheduleMissingNotified calls scheduleNotified for each change that the aggregator does not have.
+// scheduleMissingNotified calls scheduleNotified for each change that the aggregator has not received.
 func (w *watcher) scheduleMissingNotified() {
 	for _, entry := range w.service.log[w.version:] {
 		w.scheduleNotified(entry)
 	}
 }
 
-// open makes a call of discovery.
+// open makes a new call to discovery.
 func (w *watcher) open() {
 	world := w.service.world
 	w.callNumber++
@@ -169,7 +170,7 @@
 	w.answer(call)
 }
 
-// answer is discovery's answer to a call.
+// answer simulates discovery's answer to a call.
 func (w *watcher) answer(call int) {
 	world := w.service.world
 	if w.callNumber != call {
@@ -191,7 +192,7 @@
 	})
 }
 
-// deliver passes the changes that the aggregator does not have to its core.
+// deliver passes the changes that the aggregator has not received to its core.
 func (w *watcher) deliver(call int) {
 	if w.callNumber != call || w.unresponsive {
 		return
@@ -211,7 +212,7 @@
 	w.host.post(list)
 }
 
-// heartbeat lets discovery send heartbeats for as long as the call is live.
+// heartbeat schedules discovery's heartbeats while the call is current and discovery is responsive.
 func (w *watcher) heartbeat(call int) {
 	w.service.world.after(heartbeatInterval, func() {
 		if w.callNumber == call && !w.unresponsive {
@@ -221,7 +222,7 @@
 	})
 }
 
-// scheduleReopen reopens the watch once it counts as broken.
+// scheduleReopen reopens the watch when its idle deadline has expired.
 func (w *watcher) scheduleReopen(call int) {
 	at := w.schedule.IdleDeadline()
 	w.service.world.at(at, func() {
@@ -237,7 +238,7 @@
 	})
 }
 
-// callEnded ends a call, and schedules the next after a backoff.
+// callEnded ends a call, and schedules the next one after a backoff.
 func (w *watcher) callEnded(call int) {
 	if w.callNumber != call {
 		return
@@ -271,7 +272,7 @@
 		}
 	}
 	world.at(notifiedAt, func() {
-		if w.lastPollRejected { // it has to back off, so that it may learn of the change later
+		if w.lastPollRejected { // the aggregator has to back off, and may be notified later
 			world.at(changedAt.Add(rejectedPollDelay), notify)
 			return
 		}
@@ -279,8 +280,8 @@
 	})
 }
 
-// notifiedAt is when the aggregator counts as notified of a change that is made now, by the state of its watch; ok is
-// false while the change reaches nobody.
+// notifiedAt returns when the aggregator counts as notified of a change that is made now, by the state of its watch. ok
+// is false if the change cannot reach the aggregator.
 func (w *watcher) notifiedAt() (moment time.Time, ok bool) {
 	world := w.service.world
 	soonest := world.now.Add(liveWatchDelay)
@@ -294,7 +295,7 @@
 	case w.live:
 		return soonest, true
 	case world.Discovery.Kind == LocalAgents:
-		return soonest, !w.service.unresponsive // an agent does not have the change while its service is unresponsive
+		return soonest, !w.service.unresponsive // an agent does not receive the change while discovery is unresponsive
 	case w.lastPollRejected:
 		return world.now.Add(rejectedPollDelay), true
 	}
--- a/internal/testbed/sim/fault.go
+++ b/internal/testbed/sim/fault.go
@@ -6,33 +6,33 @@
 	"rooktrestle/balance"
 )
 
-// FaultKind names what goes wrong. The values stand in replay files.
+// FaultKind is a kind of fault. The values are stored in replay files.
 type FaultKind string
 
-// The kinds of faults. Magnitude means what the comment says; elsewhere it has no meaning.
+// The kinds of faults. Fault.Magnitude has a meaning only where the comment mentions it.
 const (
-	FastErrors   FaultKind = "fast-errors" // replicas fail a fraction (Magnitude) of their parts at once; checks pass
-	Burst        FaultKind = "burst"       // the rate of queries times Magnitude
-	SlowReplicas FaultKind = "slow"        // every replica's service time times Magnitude
-	Gray         FaultKind = "gray"        // replicas' service time of searches only, times Magnitude
-	Deploy       FaultKind = "deploy"      // replicas drain, end and start again, one after the other
-	Outage       FaultKind = "outage"      // a zone crashes at once, and is back at the end
+	FastErrors   FaultKind = "fast-errors" // replicas fail a fraction (Magnitude) of parts immediately; checks pass
+	Burst        FaultKind = "burst"       // the rate of queries is multiplied by Magnitude
+	SlowReplicas FaultKind = "slow"        // every replica's service time is multiplied by Magnitude
+	Gray         FaultKind = "gray"        // replicas' service time of searches is multiplied by Magnitude
+	Deploy       FaultKind = "deploy"      // replicas drain, stop and restart, one after the other
+	Outage       FaultKind = "outage"      // all replicas of a zone crash, and restart at the end
 	Isolate      FaultKind = "cut"         // replicas are unreachable, in both directions
-	Hang         FaultKind = "hang"        // replicas take parts and never answer
+	Hang         FaultKind = "hang"        // replicas accept parts and never answer
 	BadChecks    FaultKind = "bad-checks"  // every health check fails while replicas serve
-	EndpointLag  FaultKind = "roster-lag"  // changes of the endpoint list come Magnitude seconds later
+	EndpointLag  FaultKind = "roster-lag"  // changes of the endpoint list arrive Magnitude seconds later
 
-	// Faults of whole fleets, whose aggregators poll discovery.
-	Release         FaultKind = "release"   // replicas drain, end, and are replaced by others that warm up, in turn
-	KillAggregators FaultKind = "kill"      // a fraction (Magnitude) of the aggregators crashes; each starts again
+	// Faults of complete fleets, whose aggregators poll discovery.
+	Release         FaultKind = "release"   // replicas drain, stop, and are replaced by new ones that warm up, in turn
+	KillAggregators FaultKind = "kill"      // a fraction (Magnitude) of the aggregators crashes; each restarts
 	DiscoveryOutage FaultKind = "silence"   // discovery is unresponsive
-	Partition       FaultKind = "partition" // zones do not reach each other, gossip included
+	Partition       FaultKind = "partition" // no message passes between zones, gossip included
 )
 
-// drainPeriod is how long a replica drains before it is replaced.
+// drainPeriod is the time for which a replica drains before it is replaced.
 const drainPeriod = 2 * time.Second
 
-// FaultKinds are all kinds but those of whole fleets.
+// FaultKinds are all kinds except those of complete fleets.
 var FaultKinds = []FaultKind{
 	FastErrors,
 	Burst,
@@ -46,14 +46,14 @@
 	EndpointLag,
 }
 
-// Fault is one thing that goes wrong for a while.
+// Fault is a fault that is active for a period.
 type Fault struct {
 	Kind      FaultKind     `json:"kind"`
-	From      time.Duration `json:"from"` // after Start
+	From      time.Duration `json:"from"` // after StartTime
 	Duration  time.Duration `json:"for"`
-	Replicas  int           `json:"nodes"` // how many replicas it affects, from First on round the ring
-	First     int           `json:"first"` // place in the ring
-	Magnitude float64       `json:"size"`  // its meaning depends on the kind
+	Replicas  int           `json:"nodes"` // number of replicas that it affects, beginning at First in the ring
+	First     int           `json:"first"` // index in the ring
+	Magnitude float64       `json:"size"`  // meaning by kind
 }
 
 func (f *Fault) activeAt(now time.Time) bool {
@@ -64,7 +64,7 @@
 
 func (f *Fault) end() time.Time { return StartTime.Add(f.From + f.Duration) }
 
-// schedule makes the fault happen in a run. Burst needs nothing: the clients' rate looks it up.
+// schedule schedules the events of the fault. Burst needs none, because world.arrivalRate reads it from the settings.
 func (f *Fault) schedule(world *world) {
 	switch f.Kind {
 	case FastErrors, SlowReplicas, Gray, Isolate, Hang, BadChecks, Outage:
@@ -86,7 +86,7 @@
 	}
 }
 
-// targets are the replicas that the fault names.
+// targets returns the replicas that the fault selects.
 func (f *Fault) targets(world *world) []*replica {
 	var list []*replica
 	for i := range min(f.Replicas, len(world.replicas)) {
@@ -95,14 +95,14 @@
 	return list
 }
 
-// scheduleOnReplicas changes the fault's replicas at its begin and undoes it at its end.
+// scheduleOnReplicas applies the fault to its replicas when it begins, and reverts it when it ends.
 func (f *Fault) scheduleOnReplicas(world *world) {
 	var targets []*replica
 	switch f.Kind {
 	case SlowReplicas, BadChecks:
 		targets = world.replicas
 	case Outage:
-		// The named replicas crash too, those of the second zone among them twice.
+		// The selected replicas crash as well; those of the second zone are in the list twice.
 		targets = append(f.targets(world), secondZone(world)...)
 	default:
 		targets = f.targets(world)
@@ -164,7 +164,7 @@
 		target.unreachable = false
 	case Hang:
 		target.unresponsive = false
-		target.crash() // an operator restarts it
+		target.crash() // stands for a restart by an operator
 		target.up = true
 	case BadChecks:
 		target.checksPass = true
@@ -174,8 +174,8 @@
 	}
 }
 
-// scheduleRollout lets replicas drain one after the other, evenly over the fault's time. In a deployment each starts
-// again, in a release another takes its place.
+// scheduleRollout drains replicas one after the other, evenly spaced over the fault's duration. In a deployment each
+// replica restarts; in a release a new one replaces it.
 func (f *Fault) scheduleRollout(world *world) {
 	targets := f.targets(world)
 	count := time.Duration(len(targets))
@@ -201,7 +201,7 @@
 	}
 }
 
-// replace ends a replica and starts another at its place in the ring.
+// replace stops a replica and starts a new one at its index in the ring.
 func replace(world *world, old *replica) {
 	old.crash()
 	old.replaced = true
@@ -212,7 +212,7 @@
 	successor.start()
 }
 
-// killAggregators crashes a fraction of the aggregators; each starts again at a random moment of the fault's time.
+// killAggregators crashes a fraction of the aggregators. Each restarts after a random part of the fault's duration.
 func (f *Fault) killAggregators(world *world) {
 	victims := int(f.Magnitude * float64(len(world.aggregators)))
 	for _, i := range world.rng.Perm(len(world.aggregators))[:victims] {
@@ -221,7 +221,7 @@
 		downtime := time.Duration(world.rng.Float64() * float64(f.Duration))
 		world.after(downtime, func() {
 			if err := host.start(); err != nil {
-				world.checker.violate("aggregator %d does not start again: %v", host.index, err)
+				world.checker.violate("aggregator %d does not restart: %v", host.index, err)
 			}
 		})
 	}
--- a/internal/testbed/sim/healthchecks.go
+++ b/internal/testbed/sim/healthchecks.go
@@ -8,7 +8,7 @@
 	"rooktrestle/internal/control/health"
 )
 
-// startHealthChecks makes the health table, and schedules the first checks of the servers.
+// startHealthChecks creates the health table, and schedules the first health checks of the servers.
 func (h *aggregatorHost) startHealthChecks(servers []health.Server) (err error) {
 	check := health.CheckConfig{Name: "check", Fall: 2, Rise: 1, Validity: 4 * time.Second}
 	defaults := health.Defaults(classCount, 1<<correction)
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// AttemptEnded takes the end of an attempt as health evidence.
+// AttemptEnded records the result of an attempt as health evidence.
 func (h *aggregatorHost) AttemptEnded(now time.Time, a aggregator.AttemptSummary) {
 	if h.healthTable == nil {
 		return
@@ -33,7 +33,7 @@
 // healthCheckInterval is the time between two checks of a replica.
 const healthCheckInterval = time.Second
 
-// runHealthChecks checks every replica, and again after healthCheckInterval.
+// runHealthChecks checks every replica, and schedules the next checks after healthCheckInterval.
 func (h *aggregatorHost) runHealthChecks() {
 	for _, r := range h.world.replicas {
 		result := health.CheckResult{Oper: health.Up, Weight: -1, MaxConn: -1}
@@ -46,7 +46,7 @@
 	h.world.after(healthCheckInterval, h.runHealthChecks)
 }
 
-// publishHealthChanges passes changes of the health table to the core as changes of endpoints.
+// publishHealthChanges passes changes of the health table to the core as changes of the endpoint list.
 func (h *aggregatorHost) publishHealthChanges() {
 	changes := h.healthTable.Changes(h.world.now)
 	if len(changes) > 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// applyHealthChange notes a replica's new limits and returns its changed entry of the endpoint list.
+// applyHealthChange stores a replica's new limits, and returns its changed entry of the endpoint list.
 func (h *aggregatorHost) applyHealthChange(change health.Change) aggregator.Server {
 	r := h.world.replicaByID[balance.Replica(change.ID)]
 	h.healthLimits[r.id] = balance.HealthLimits{
--- a/internal/testbed/sim/hunt.go
+++ b/internal/testbed/sim/hunt.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RandomSettings draws the settings of a run: a small fleet and its faults.
+// RandomSettings draws the settings of a run with a small fleet and random faults.
 func RandomSettings(seed uint64) Settings {
 	rng := rand.New(rand.NewPCG(seed, settingsStream))
 	s := Defaults(seed)
@@ -23,7 +23,8 @@
 	return s
 }
 
-// randomFault draws a fault of a fleet of so many replicas. The order of the fields is that of the random samples.
+// randomFault draws a fault for a fleet with a number of replicas. The order of the fields is the order of the random
+// samples.
 func randomFault(rng *rand.Rand, replicas int) Fault {
 	fault := Fault{
 		Kind:     FaultKinds[rng.IntN(len(FaultKinds))],
@@ -45,9 +46,9 @@
 	return fault
 }
 
-// Shrink simplifies the settings of a run that violates a rule for as long as a run violates one: fewer faults and
-// replicas, less load, less time. It plays at most maxRuns runs, and returns the simplest settings that it found and
-// how many runs it played.
+// Shrink simplifies the settings of a run that violates an invariant, while the simplified run still violates one:
+// fewer faults and replicas, less load, less time. It makes at most maxRuns runs, and returns the simplest settings
+// that it found and the number of runs.
 func Shrink(s Settings, maxRuns int) (Settings, int) {
 	shrinker := shrinker{best: s, maxRuns: maxRuns}
 	for progress := true; progress && shrinker.runs < shrinker.maxRuns; {
@@ -58,14 +59,14 @@
 	return shrinker.best, shrinker.runs
 }
 
-// shrinker searches for the simplest settings that violate a rule.
+// shrinker searches for the simplest settings that violate an invariant.
 type shrinker struct {
 	best    Settings
-	runs    int // played so far
+	runs    int // made so far
 	maxRuns int
 }
 
-// accept plays a candidate and takes it for the best if it violates a rule.
+// accept runs a candidate, and makes it the best if it violates an invariant.
 func (s *shrinker) accept(candidate Settings) bool {
 	if s.runs >= s.maxRuns {
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// removeFault leaves one fault out.
+// removeFault tries to remove one fault. It returns whether it has removed one.
 func (s *shrinker) removeFault() bool {
 	for i := range s.best.Faults {
 		candidate := s.best
@@ -91,7 +92,7 @@
 	return false
 }
 
-// simplifications make settings smaller; one that changes nothing is not played.
+// simplifications reduce the settings. A candidate that a simplification does not change is not run.
 var simplifications = []func(*Settings){
 	func(c *Settings) { c.Aggregators = 1 },
 	func(c *Settings) { c.Retries = 0 },
@@ -102,10 +103,10 @@
 	func(c *Settings) { c.SearchParts = max(1, c.SearchParts/2) },
 }
 
-// minRate bounds the simplification of the load, in queries a second.
+// minRate is the minimum rate of a simplified run, in queries per second.
 const minRate = 1
 
-// simplify tries each simplification once.
+// simplify tries each simplification once. It returns whether one was accepted.
 func (s *shrinker) simplify() bool {
 	progress := false
 	for _, change := range simplifications {
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -7,7 +7,7 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// Broadcast carries a gossip message to the other aggregators. A fraction of the messages is lost on the network.
+// Broadcast sends a gossip message to the other aggregators. The network loses a fraction of the messages.
 func (h *aggregatorHost) Broadcast(text []byte) {
 	w := h.world
 	for _, other := range w.aggregators {
@@ -24,11 +24,11 @@
 }
 
 const (
-	gossipLossProbability = 0.02                   // of a gossip message, to each aggregator
+	gossipLossProbability = 0.02                   // of a gossip message to one aggregator
 	probeTimeout          = 200 * time.Millisecond // of a load probe
 )
 
-// Send carries attempts to a replica.
+// Send sends attempts to a replica.
 func (h *aggregatorHost) Send(_ time.Time, server aggregator.Server, calls []aggregator.OutgoingAttempt) {
 	target := h.world.replicaByID[server.ID]
 	for _, call := range calls {
@@ -47,15 +47,15 @@
 	}
 }
 
-// maxEndedInSendOrder is how many ended attempts sendOrder may hold, beside as many as are in flight.
+// maxEndedInSendOrder is the number of ended attempts that sendOrder may contain in addition to the number in flight.
 const maxEndedInSendOrder = 64
 
-// hasEnded says whether an attempt has ended for the aggregator and for the replica.
+// hasEnded reports whether an attempt has ended for both the aggregator and the replica.
 func (h *aggregatorHost) hasEnded(a *attempt) bool {
 	return h.attempts[a.call.Attempt] != a && !a.replica.inFlight[a]
 }
 
-// Cancel ends an attempt at this moment: the replica is notified by then.
+// Cancel cancels an attempt at the current moment: the replica has been notified when the attempt ends.
 func (h *aggregatorHost) Cancel(_ time.Time, id aggregator.AttemptID, _ bool) {
 	a := h.attempts[id]
 	if a == nil || a.abandoned {
@@ -67,7 +67,7 @@
 	if h.world.InjectedBug == BugLeakedAttempt && id.Part%5 == 0 {
 		return
 	}
-	if h.world.InjectedBug == BugConcurrentAttempts { // it ends before the replica is notified
+	if h.world.InjectedBug == BugConcurrentAttempts { // the attempt ends before the replica is notified
 		h.post(ended)
 		return
 	}
@@ -78,7 +78,7 @@
 	})
 }
 
-// Probe polls a replica's load where aggregators gossip; elsewhere it ends without a load report.
+// Probe requests a load report from a replica if aggregators gossip; otherwise the probe ends without one.
 func (h *aggregatorHost) Probe(now time.Time, server aggregator.Server) {
 	ended := aggregator.ProbeEnded{Server: server.ID}
 	if !h.world.Gossip {
@@ -108,7 +108,7 @@
 	})
 }
 
-// deliverResult reports the end of an attempt, unless it was canceled before.
+// deliverResult passes the result of an attempt to the aggregator, unless the attempt was canceled before.
 func (h *aggregatorHost) deliverResult(a *attempt, err error, value string) {
 	if h.attempts[a.call.Attempt] != a || a.abandoned || h.world.separated(h.zone, a.replica.zone()) {
 		return
--- a/internal/testbed/sim/replica.go
+++ b/internal/testbed/sim/replica.go
@@ -11,47 +11,47 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// maxQueue is how many parts a replica queues before it rejects more.
+// maxQueue is the maximum number of queued parts of a replica, which rejects further parts.
 const maxQueue = 200
 
-// replica is a simulated archive server: cores, a queue, and the faults that it has.
+// replica is a simulated archive server with cores, a queue, and injected faults.
 type replica struct {
 	world          *world
 	id             balance.Replica
 	index          int
 	rng            *rand.Rand
 	up             bool
-	unreachable    bool // messages to it and from it are lost
+	unreachable    bool // messages to and from it are lost
 	draining       bool
-	errorRate      float64 // fraction of the parts that fails at once
+	errorRate      float64 // fraction of the parts that fail immediately
 	slowdown       float64 // factor of the service time
-	slowClass      int     // that slowdown applies to, or allClasses
-	unresponsive   bool    // takes parts and never answers
-	checksPass     bool    // its health checks, whatever its state
+	slowClass      int     // class to which slowdown applies, or allClasses
+	unresponsive   bool    // accepts parts and never answers
+	checksPass     bool    // result of its health checks while it is up and reachable
 	busyCores      int
 	queue          []*attempt
-	inFlight       map[*attempt]bool // received and not ended
-	started        time.Time         // of its process; zero: long ago
-	replaced       bool              // by another: it does not start again
-	recentArrivals []arrival         // within Warmup.OverloadPeriod, while it warms up
+	inFlight       map[*attempt]bool // received and not completed
+	started        time.Time         // start time of its process; zero: before the run
+	replaced       bool              // by a new replica: it does not restart
+	recentArrivals []arrival         // within the last Warmup.OverloadPeriod, while it warms up
 }
 
-// arrival is a part that arrived at a warming replica.
+// arrival is the arrival of a part at a replica that is warming up.
 type arrival struct {
 	moment        time.Time
-	startNotified bool // the sending aggregator had learned when the replica started
+	startNotified bool // the sending aggregator had been notified of the replica's start
 }
 
-// Warmup says what a replica can do after its start, and what makes it collapse. With the zero value it has its full
-// capacity at once and never collapses.
+// Warmup configures a replica's capacity after its start, and the load under which it crashes. With the zero value it
+// has its full capacity from the start and never crashes by overload.
 type Warmup struct {
-	Period           time.Duration `json:"For"`    // after which it has its full capacity
-	MinCapacity      float64       `json:"From"`   // fraction of the capacity at its start, growing evenly
-	OverloadMultiple float64       `json:"Tip"`    // of its present capacity
-	OverloadPeriod   time.Duration `json:"TipFor"` // over which arrivals count
+	Period           time.Duration `json:"For"`    // until the replica has its full capacity
+	MinCapacity      float64       `json:"From"`   // fraction of the capacity at the start; grows linearly
+	OverloadMultiple float64       `json:"Tip"`    // multiple of the current capacity that crashes the replica
+	OverloadPeriod   time.Duration `json:"TipFor"` // over which arrivals are counted
 }
 
-// shards are those that the replica holds: its own and those of the replicas before it in the ring.
+// shards returns the shards that the replica holds: its own and those of the Reach - 1 previous replicas in the ring.
 func (r *replica) shards() []int {
 	var list []int
 	for offset := range r.world.Reach {
@@ -60,7 +60,7 @@
 	return list
 }
 
-// loadReport is the replica's answer to a load probe.
+// loadReport returns the replica's answer to a load probe.
 func (r *replica) loadReport() *balance.LoadReport {
 	return &balance.LoadReport{
 		Queue:       float64(len(r.queue)),
@@ -69,10 +69,10 @@
 	}
 }
 
-// zone follows from the replica's place in the ring.
+// zone returns the replica's zone, which follows from its index in the ring.
 func (r *replica) zone() int { return r.index % max(2, r.world.Zones) }
 
-// capacityFraction is the fraction of the full capacity that it has now.
+// capacityFraction returns the current fraction of the full capacity.
 func (r *replica) capacityFraction() float64 {
 	warmup := r.world.Warmup
 	age := r.world.now.Sub(r.started)
@@ -82,8 +82,9 @@
 	return warmup.MinCapacity + (1-warmup.MinCapacity)*float64(age)/float64(warmup.Period)
 }
 
-// arrivalOverloads counts an arriving part, and says whether the replica collapses under it. The rule allows as many
-// parts of mean service time as OverloadMultiple says; chance may add three standard deviations and three parts.
+// arrivalOverloads counts an arriving part, and reports whether the replica crashes by overload. The limit is the
+// number of parts of mean service time that OverloadMultiple allows, plus three standard deviations and three parts,
+// which random variation may add.
 func (r *replica) arrivalOverloads(host *aggregatorHost) bool {
 	warmup := r.world.Warmup
 	fraction := r.capacityFraction()
@@ -107,8 +108,8 @@
 	return true
 }
 
-// reportOverload reports a collapse as a violation if over two thirds of the recent parts came from aggregators that
-// had learned of the replica's start: they had to send less.
+// reportOverload reports a crash by overload as a violation if more than two thirds of the recent parts came from
+// aggregators that had been notified of the replica's start, and so had to limit what they send.
 func (r *replica) reportOverload(allowed float64) {
 	notified := 0
 	for _, a := range r.recentArrivals {
@@ -123,10 +124,10 @@
 	r.world.checker.violate(format, r.id, len(r.recentArrivals), notified, allowed)
 }
 
-// restartDelay is how long a replica that collapsed is down.
+// restartDelay is the time until a replica restarts after a crash by overload.
 const restartDelay = time.Second
 
-// collapse ends an overloaded replica; it starts again after restartDelay.
+// collapse crashes an overloaded replica, which restarts after restartDelay.
 func (r *replica) collapse() {
 	r.crash()
 	r.recentArrivals = nil
@@ -138,7 +139,7 @@
 	})
 }
 
-// start begins a new process of the replica and publishes it.
+// start starts a new process of the replica, and publishes the replica as in service.
 func (r *replica) start() {
 	if r.world.Warmup.Period > 0 {
 		r.started = r.world.now
@@ -151,11 +152,11 @@
 	host      *aggregatorHost
 	call      aggregator.OutgoingAttempt
 	replica   *replica
-	abandoned bool // the aggregator has canceled it or has crashed
+	abandoned bool // the aggregator has canceled it, or has crashed
 }
 
-// newReplica returns a replica whose name and random stream are of its number. Its place in the ring is the same,
-// unless it replaces another.
+// newReplica returns a replica whose name and random stream are derived from number. number is also its index in the
+// ring, unless it replaces another replica.
 func newReplica(w *world, number int) *replica {
 	return &replica{
 		world:      w,
@@ -201,12 +202,12 @@
 	r.dispatch()
 }
 
-// fail ends an attempt with an error, which the aggregator gets one network delay later.
+// fail ends an attempt with an error, which the aggregator receives after one network delay.
 func (r *replica) fail(a *attempt, err error) {
 	r.world.after(r.world.networkDelay(), func() { a.host.deliverResult(a, err, "") })
 }
 
-// dispatch gives queued parts to free cores.
+// dispatch assigns queued parts to free cores.
 func (r *replica) dispatch() {
 	for r.busyCores < r.world.Cores && len(r.queue) > 0 {
 		a := r.queue[0]
@@ -220,7 +221,7 @@
 	}
 }
 
-// sampleServiceTime draws how long a part of a class takes on a core.
+// sampleServiceTime draws the service time of a part of a class.
 func (r *replica) sampleServiceTime(class int) time.Duration {
 	elapsed := time.Duration((0.5 + 0.5*r.rng.ExpFloat64()) * float64(r.world.MeanServiceTime))
 	if r.slowClass == allClasses || r.slowClass == class {
@@ -233,7 +234,7 @@
 }
 
 func (r *replica) complete(a *attempt) {
-	if !r.inFlight[a] { // the replica crashed meanwhile
+	if !r.inFlight[a] { // the replica has crashed in the meantime
 		return
 	}
 	delete(r.inFlight, a)
@@ -245,13 +246,13 @@
 	})
 }
 
-// crash ends the replica's process: attempts at it end with a reset of the connection.
+// crash stops the replica's process: the connections of its attempts are reset.
 func (r *replica) crash() {
 	r.up = false
 	r.queue = nil
 	r.busyCores = 0
 	var lost []*attempt
-	for _, host := range r.world.aggregators { // in the order of sending, not of a map
+	for _, host := range r.world.aggregators { // in the order of sending: the order of a map would not be deterministic
 		for _, a := range host.sendOrder {
 			if r.inFlight[a] {
 				lost = append(lost, a)
@@ -264,23 +265,23 @@
 	}
 }
 
-// endpointFeed passes changes of the endpoint list to every aggregator directly, where there is no discovery. Each
-// learns of a change after a delay of its own.
+// endpointFeed passes changes of the endpoint list directly to every aggregator, in runs without discovery. Each
+// aggregator is notified after a separately drawn delay.
 type endpointFeed struct {
 	world *world
 	lag   time.Duration // added to each delay
 }
 
-// maxPropagation bounds the time that a change of the endpoint list takes to an aggregator.
+// maxPropagation is the maximum propagation delay of a change of the endpoint list.
 const maxPropagation = 50 * time.Millisecond
 
-// propagationDelay draws the time that a change of the endpoint list takes to an aggregator, evenly up to
+// propagationDelay draws the time until a change of the endpoint list reaches an aggregator, uniformly up to
 // maxPropagation.
 func (w *world) propagationDelay() time.Duration {
 	return time.Duration(w.rng.Float64() * float64(maxPropagation))
 }
 
-// publish changes an endpoint's state, by discovery where the aggregators follow that.
+// publish publishes an endpoint's state, through discovery if the run has it.
 func (f *endpointFeed) publish(r *replica, state balance.EndpointState) {
 	if f.world.Discovery.Kind != "" {
 		f.world.discovery.append(r, state)
--- a/internal/testbed/sim/settings.go
+++ b/internal/testbed/sim/settings.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Settings describe one run: the fleet, its clients, and the faults. Replay files hold them as JSON under the keys of
-// the tags, which stay as they are so that old files can be played.
+// Settings configures one run: the fleet, its clients, and the faults. Replay files store it as JSON with the keys of
+// the tags, which must not change, so that old files can be replayed.
 type Settings struct {
-	Seed            uint64        `json:"Seed"` // of all random samples
+	Seed            uint64        `json:"Seed"` // of all random streams
 	Aggregators     int           `json:"Mixers"`
 	Replicas        int           `json:"Nodes"`
-	Reach           int           `json:"Reach"`     // replicas that hold a shard; there are as many shards as replicas
-	SearchParts     int           `json:"Parts"`     // parts of one search
-	Cores           int           `json:"Cores"`     // of a replica
-	MeanServiceTime time.Duration `json:"Work"`      // of a part: half of it fixed, half exponential
-	Rate            float64       `json:"Rate"`      // queries a second over all aggregators
-	Retries         int           `json:"Retries"`   // that a client makes of a rejected or failed query
-	RetryDelay      time.Duration `json:"RetryAt"`   // drawn from half of it to twice of it
+	Reach           int           `json:"Reach"`     // replicas of a shard; there are as many shards as replicas
+	SearchParts     int           `json:"Parts"`     // parts per search
+	Cores           int           `json:"Cores"`     // per replica
+	MeanServiceTime time.Duration `json:"Work"`      // of a part; half constant, half exponentially distributed
+	Rate            float64       `json:"Rate"`      // queries per second over all aggregators
+	Retries         int           `json:"Retries"`   // maximum retries of a rejected or failed query by its client
+	RetryDelay      time.Duration `json:"RetryAt"`   // drawn uniformly from half to twice this value
 	NetworkDelay    time.Duration `json:"Network"`   // mean, one way
 	Duration        time.Duration `json:"For"`       // of the clients' traffic
-	HealthEvidence  bool          `json:"Evidence"`  // aggregators have health tables, and check replicas once a second
+	HealthEvidence  bool          `json:"Evidence"`  // aggregators have health tables and check replicas every second
 	Zones           int           `json:"Zones"`     // 0: replicas are in two zones, all aggregators in the first
-	TrafficSkew     float64       `json:"Skew"`      // standard deviation of the log of aggregators' weights
-	Gossip          bool          `json:"Words"`     // aggregators probe replicas' load and gossip with each other
-	Warmup          Warmup        `json:"Cold"`      // of a replica after its start
-	Discovery       Discovery     `json:"Discovery"` // how aggregators learn of the endpoint list
+	TrafficSkew     float64       `json:"Skew"`      // standard deviation of the logarithm of the aggregators' weights
+	Gossip          bool          `json:"Words"`     // aggregators send load probes, and gossip with each other
+	Warmup          Warmup        `json:"Cold"`      // of replicas after their start
+	Discovery       Discovery     `json:"Discovery"` // how aggregators receive the endpoint list
 	Faults          []Fault       `json:"Troubles"`
-	InjectedBug     Bug           `json:"Planted"` // on purpose, for tests of the checker
-	RecordTrace     bool          `json:"Keep"`    // keep the trace's text
+	InjectedBug     Bug           `json:"Planted"` // for tests of the checker
+	RecordTrace     bool          `json:"Keep"`    // also record the trace as text
 }
 
-// Defaults are the settings of a small fleet without faults.
+// Defaults returns the settings of a small fleet without faults.
 func Defaults(seed uint64) Settings {
 	return Settings{
 		Seed:            seed,
@@ -46,51 +46,51 @@
 	}
 }
 
-// Bug is a fault of the program under test that is planted on purpose: a test of the checker, which has to find it. The
-// values stand in replay files.
+// Bug is a bug of the program under test that is injected to test the checker, which must detect it. The values are
+// stored in replay files.
 type Bug string
 
-// The bugs that can be planted. The zero value plants none.
+// The bugs that can be injected. The zero value injects none.
 const (
 	BugDoubleCorrection   Bug = "double correction" // a correction runs twice
-	BugLostQuery          Bug = "lost query"        // an answer reaches nobody
+	BugLostQuery          Bug = "lost query"        // an answer is not delivered
 	BugDrainIgnored       Bug = "drain ignored"     // aggregators are not notified that a replica drains
 	BugFalseComplete      Bug = "dishonest whole"   // partial answers are marked complete
 	BugLeakedAttempt      Bug = "leaked attempt"    // a canceled attempt never ends
 	BugConcurrentAttempts Bug = "second copy"       // a canceled attempt ends before the replica is notified
-	BugWarmupIgnored      Bug = "cold ignored"      // warming replicas get as much as warm ones
+	BugWarmupIgnored      Bug = "cold ignored"      // aggregators ignore the warm-up of replicas
 	BugSlowReopen         Bug = "waits in silence"  // an unresponsive watch is reopened only after the fleet's backoff
 )
 
-// Result is what one run came to.
+// Result is the result of one run.
 type Result struct {
-	Hash                   uint64 // of the trace
-	Events                 uint64 // of the simulation
-	Requests               int    // queries and the clients' retries of them
-	Served                 int    // requests, partial answers included
+	Hash                   uint64 // hash of the trace
+	Events                 uint64 // events of the simulation
+	Requests               int    // queries and the clients' retries
+	Served                 int    // requests, including those with a partial answer
 	Partial                int    // requests served with a partial answer
 	Rejected               int    // requests
 	Failed                 int    // requests
 	Queries                int    // first requests
-	Answered               int    // queries that were served in the end
-	ConnectionsLost        int    // requests whose aggregator crashed under them
-	ReplicasOverloaded     int    // warming replicas that collapsed under too many parts
+	Answered               int    // queries that were finally served
+	ConnectionsLost        int    // requests in flight at an aggregator that crashed
+	ReplicasOverloaded     int    // crashes of warming replicas by overload
 	DiscoveryPolls         int
 	DiscoveryPollsRejected int
 	Classes                [classCount]ClassCounts
-	Violations             []string        // of the rules, bounded by maxViolations
+	Violations             []string        // of the invariants, at most maxViolations
 	Latencies              []time.Duration // of served requests, in the order of their answers
 	Trace                  []string        // if Settings.RecordTrace is set
 }
 
-// ClassCounts count the queries of one class; a client's retries count with the query that they retry.
+// ClassCounts contains the counts of the queries of one class. Retries are not counted as separate queries.
 type ClassCounts struct {
 	Queries         int
 	Answered        int
 	WithinObjective int
 }
 
-// Goodput is the fraction of the queries that was answered; 1 if there was none.
+// Goodput returns the fraction of the queries that were answered, or 1 if there are no queries.
 func (r *Result) Goodput() float64 {
 	if r.Queries == 0 {
 		return 1
--- a/internal/testbed/sim/settings_test.go
+++ b/internal/testbed/sim/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Files that hunt wrote stay playable: the keys are pinned, whatever the fields are called.
+// Existing replay files must stay readable: renaming a field must not change its key.
 func TestSettings_KeysOfReplayFiles(t *testing.T) {
 	s := Defaults(1)
 	s.Faults = []Fault{{Kind: Gray}}
@@ -24,7 +24,7 @@
 	want := "Cold Cores Discovery Evidence For Keep Mixers Network Nodes Parts Planted Rate Reach Retries RetryAt " +
 		"Seed Skew Troubles Words Work Zones"
 	if got := strings.Join(slices.Sorted(maps.Keys(file)), " "); got != want {
-		t.Errorf("the keys are %s, not %s", got, want)
+		t.Errorf("the keys are %s, want %s", got, want)
 	}
 	for key, want := range map[string]string{
 		"Cold":      `{"For":0,"From":0,"Tip":0,"TipFor":0}`,
@@ -32,12 +32,12 @@
 		"Troubles":  `[{"kind":"gray","from":0,"for":0,"nodes":0,"first":0,"size":0}]`,
 	} {
 		if got := string(file[key]); got != want {
-			t.Errorf("%s is %s, not %s", key, got, want)
+			t.Errorf("%s is %s, want %s", key, got, want)
 		}
 	}
 }
 
-// A file that an earlier version wrote is read with all its values.
+// A replay file that a previous version wrote is read with all its values.
 func TestSettings_ReadEarlierReplayFile(t *testing.T) {
 	const file = `{"Seed":1,"Mixers":3,"Nodes":14,"Work":20000000,"For":8000000000,"Words":true,
 		"Cold":{"For":6000000000,"Tip":3},
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -1,7 +1,7 @@
-// Package sim plays whole fleets under one seeded virtual clock: aggregators with the real core, decisions and health
-// evidence, replicas, clients, and the network between them. A run is determined by its settings: two runs with equal
-// settings give the same trace, on any number of processors. A checker holds every step against the rules that have to
-// hold whatever happens.
+// Package sim is a deterministic simulator of complete fleets in virtual time: aggregators with the real core, balancer
+// and health evidence, replicas, clients, and the network between them. A run depends only on its settings: two runs
+// with equal settings give the same trace, on any number of processors. A checker verifies the invariants at every
+// step.
 package sim
 
 import (
@@ -12,22 +12,22 @@
 	"rooktrestle/balance"
 )
 
-// Streams of random numbers. Each purpose has its own, so that another number of samples for one does not change the
-// others.
+// Random streams. Each purpose has its own stream, so that a different number of samples for one purpose does not
+// change the others.
 const (
 	worldStream        = 0x51
 	settingsStream     = 0x77
-	dayStream          = 0xda
+	scenarioStream     = 0xda
 	firstReplicaStream = 1000
 )
 
-// quietPeriod is how long a run goes on after the last deadline: at its end no query and no attempt may be open.
+// quietPeriod is the time that a run continues after the last deadline. At its end no query or attempt may be open.
 const quietPeriod = 5 * time.Second
 
-// firstArrival is when the first query comes.
+// firstArrival is the time from StartTime to the first query.
 const firstArrival = 100 * time.Millisecond
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	clock
 	Settings
@@ -37,21 +37,21 @@
 	replicaByID       map[balance.Replica]*replica
 	feed              *endpointFeed
 	discovery         *discoveryService
-	cumulativeTraffic []float64 // of the aggregators, added up; empty: all equal
-	partitioned       bool      // the zones do not reach each other
+	cumulativeTraffic []float64 // cumulative weights of the aggregators; empty: all equal
+	partitioned       bool      // no message passes between zones
 	checker           *checker
 	result            Result
 }
 
-// separated says whether nothing passes between two zones.
+// separated reports whether a partition separates two zones.
 func (w *world) separated(a, b int) bool { return w.partitioned && a != b }
 
-// networkDelay draws the delay of one message.
+// networkDelay draws the network delay of one message.
 func (w *world) networkDelay() time.Duration {
 	return w.NetworkDelay/2 + time.Duration(w.rng.ExpFloat64()*float64(w.NetworkDelay)/2)
 }
 
-// Run plays a fleet. An error means that the settings make no fleet; violations of the rules are part of the result.
+// Run simulates a fleet. An error means that the settings are invalid; violations of invariants are part of the result.
 func Run(settings Settings) (Result, error) {
 	w, err := newWorld(settings)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return w.finalResult(), nil
 }
 
-// newWorld builds the fleet. The order of the steps fixes the order of the random samples.
+// newWorld creates the fleet. The order of the steps determines the order of the random samples, and so the trace.
 func newWorld(settings Settings) (*world, error) {
 	w := &world{
 		clock:       newClock(settings.RecordTrace),
@@ -96,7 +96,7 @@
 	w.replicaByID[r.id] = r
 }
 
-// sampleTraffic draws each aggregator's weight in the clients' choice.
+// sampleTraffic draws the weight of each aggregator in the clients' choice of one.
 func (w *world) sampleTraffic() {
 	if w.TrafficSkew <= 0 {
 		return
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func play(t *testing.T, s Settings) Result {
+func mustRun(t *testing.T, s Settings) Result {
 	t.Helper()
 	r, err := Run(s)
 	if err != nil {
@@ -18,39 +18,39 @@
 	return r
 }
 
-// violates says whether a violation of a run contains a text.
+// violates reports whether a violation of a run contains a text.
 func violates(r Result, text string) bool {
 	return slices.ContainsFunc(r.Violations, func(violation string) bool { return strings.Contains(violation, text) })
 }
 
-// The same seed gives the same trace, on any number of processors; another seed gives another.
+// The same seed must give the same trace on any number of processors, and another seed a different one.
 func TestRun_TraceDependsOnSeedOnly(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for seed := range uint64(2) {
 		s := RandomSettings(seed)
-		first := play(t, s)
+		first := mustRun(t, s)
 		runtime.GOMAXPROCS(8)
-		second := play(t, s)
+		second := mustRun(t, s)
 		runtime.GOMAXPROCS(1)
 		if first.Hash != second.Hash || first.Events != second.Events || first.Requests == 0 {
 			t.Errorf("seed %d: %x of %d events, then %x of %d",
 				seed, first.Hash, first.Events, second.Hash, second.Events)
 		}
 		s.Seed += 1000
-		if other := play(t, s); other.Hash == first.Hash {
+		if other := mustRun(t, s); other.Hash == first.Hash {
 			t.Errorf("seeds %d and %d give the same trace", seed, s.Seed)
 		}
 	}
 }
 
-// A fleet without faults answers everything; each kind of fault has its effect.
+// A fleet without faults must answer nearly all queries, and each kind of fault must have its effect.
 func TestRun_EachFaultHasItsEffect(t *testing.T) {
 	quiet := func() Settings {
 		s := Defaults(1)
 		s.Rate = 40
 		return s
 	}
-	calm := play(t, quiet())
+	calm := mustRun(t, quiet())
 	if calm.Goodput() < 0.999 || len(calm.Violations) > 0 || calm.Queries < 300 {
 		t.Errorf("calm: %+v", calm.Violations)
 	}
@@ -68,7 +68,7 @@
 			Replicas:  6,
 			Magnitude: magnitudes[kind],
 		}}
-		r := play(t, s)
+		r := mustRun(t, s)
 		if len(r.Violations) > 0 {
 			t.Errorf("%s: %v", kind, r.Violations)
 		}
@@ -81,7 +81,7 @@
 			if median(r) < 2*median(calm) {
 				t.Errorf("%s: %v, %v in calm", kind, median(r), median(calm))
 			}
-		case BadChecks, EndpointLag, Deploy: // alone they may not harm
+		case BadChecks, EndpointLag, Deploy: // a single one must not reduce the goodput noticeably
 			if r.Goodput() < 0.98 {
 				t.Errorf("%s: goodput %.3f", kind, r.Goodput())
 			}
@@ -93,16 +93,16 @@
 	}
 }
 
-// Random fleets violate no rule.
+// Random fleets must not violate any invariant.
 func TestRun_RandomFleetsViolateNoRule(t *testing.T) {
 	for seed := range uint64(5) {
-		if r := play(t, RandomSettings(seed)); len(r.Violations) > 0 {
-			t.Errorf("seed %d: %d broken, the first %s", seed, len(r.Violations), r.Violations[0])
+		if r := mustRun(t, RandomSettings(seed)); len(r.Violations) > 0 {
+			t.Errorf("seed %d: %d violations, the first: %s", seed, len(r.Violations), r.Violations[0])
 		}
 	}
 }
 
-// The checker finds a planted bug of each rule.
+// The checker must detect an injected bug for each of these invariants.
 func TestChecker_FindsPlantedBugs(t *testing.T) {
 	for bug, violation := range map[Bug]string{
 		BugDoubleCorrection:   "ran 2 times",
@@ -118,13 +118,13 @@
 			{Kind: Deploy, From: time.Second, Duration: 6 * time.Second, Replicas: 6},
 			{Kind: Hang, From: 2 * time.Second, Duration: 5 * time.Second, Replicas: 5, First: 6},
 		}
-		if r := play(t, s); !violates(r, violation) {
+		if r := mustRun(t, s); !violates(r, violation) {
 			t.Errorf("%s: %v", bug, r.Violations)
 		}
 	}
 }
 
-// A run that violates a rule is shrunk to the fault that it takes.
+// A run that violates an invariant must be shrunk to the fault that causes the violation.
 func TestShrink_KeepsTheFaultThatViolates(t *testing.T) {
 	s := RandomSettings(5)
 	s.InjectedBug = BugDrainIgnored
@@ -137,12 +137,12 @@
 	if len(short.Faults) != 1 || short.Faults[0].Kind != Deploy || runs < 5 {
 		t.Errorf("%d runs, %+v", runs, short.Faults)
 	}
-	if r := play(t, short); len(r.Violations) == 0 {
-		t.Error("the shrunk run violates no rule")
+	if r := mustRun(t, short); len(r.Violations) == 0 {
+		t.Error("the shrunk run violates no invariant")
 	}
 }
 
-// Events a second, by the size of the fleet. Run with -bench Fleet.
+// Measures events per second by the size of the fleet. Run with -bench Fleet.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
