--- a/internal/testbed/health/agents.go
+++ b/internal/testbed/health/agents.go
@@ -8,11 +8,12 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// maxHeapGrowthMB bounds what misbehaving agents may cost.
+// maxHeapGrowthMB bounds the heap growth that misbehaving agents may cause.
 const maxHeapGrowthMB = 16
 
-// MisbehavingAgents has five replicas whose agents hang, drip, flood, close at once and refuse connections; the sixth
-// responds. Time and memory are bounded, and the checks of the others keep their pace.
+// MisbehavingAgents runs five replicas whose agents do not answer, send a byte per second, send an endless line, close
+// the connection at once and refuse connections, and a sixth whose agent responds. Memory must stay bounded, and the
+// checks of the responsive agent must not be delayed.
 func MisbehavingAgents(seed uint64) (r Result, err error) {
 	options := deployment.Options{
 		Replicas:      6,
@@ -37,21 +38,21 @@
 	draining := d.Events.Next(deployment.HealthChanged("n5", "drain"))
 	at := time.Now()
 	d.Agents[5].Set("drain", replica.Respond)
-	elapsed, ok := wait(draining, at, 5*time.Second)
-	r.claim(ok && elapsed < time.Second, "the agent that responds was noticed after %v", elapsed)
-	r.set("heard-s", elapsed.Seconds())
+	elapsed, ok := waitForEvent(draining, at, 5*time.Second)
+	r.assert(ok && elapsed < time.Second, "the drain of the responsive agent was noticed after %v", elapsed)
+	r.record("heard-s", elapsed.Seconds())
 	time.Sleep(2 * time.Second)
 	growth := float64(heapInUse()-before) / (1 << 20)
 	to := time.Now()
 	stop()
-	r.set("heap-grown-MB", growth)
-	r.claim(growth < maxHeapGrowthMB, "the heap grew by %.1f MB", growth)
+	r.record("heap-grown-MB", growth)
+	r.assert(growth < maxHeapGrowthMB, "the heap grew by %.1f MB", growth)
 	r.checkComplete(calls.Calls(from, to.Add(-time.Second)), "")
 	r.checkCorrections(d)
 	return r, nil
 }
 
-// heapInUse is in bytes, after a collection.
+// heapInUse returns the size in bytes of the heap after a garbage collection.
 func heapInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/testbed/health/drain.go
+++ b/internal/testbed/health/drain.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	otherServers     = 1000                   // how many servers are only checked
-	slowServerEvery  = 20                     // of otherServers: checks of every 20th get no answer
-	maxPartsAfter    = 300 * time.Millisecond // after the agent said drain: until then new parts may arrive
+	otherServers     = 1000                   // number of servers that are only checked
+	slowServerEvery  = 20                     // every 20th of otherServers does not answer checks
+	maxPartsAfter    = 300 * time.Millisecond // new parts may arrive for this long after the agent announced drain
 	agentDrainAnswer = "up drain"
 	agentReadyAnswer = "up ready 100%"
 )
 
-// Drain measures how long after a replica's agent said drain the last new part reaches it.
+// Drain measures the time from a replica's agent announcing drain to the last new part that reaches the replica.
 func Drain(seed uint64) (r Result, err error) {
 	others, err := startCheckedOnly(seed)
 	if err != nil {
@@ -50,34 +50,34 @@
 	}
 	to := time.Now()
 	stop()
-	r.checkComplete(calls.Calls(to.Add(-6*time.Second), to.Add(-time.Second)), ": what was in flight did not finish")
+	r.checkComplete(calls.Calls(to.Add(-6*time.Second), to.Add(-time.Second)), ": parts in flight did not complete")
 	r.checkCorrections(d)
 	return r, nil
 }
 
-// checkedOnly are two replicas that stand for the servers that are only checked.
+// checkedOnly contains two replicas, at whose addresses all servers are that are only checked.
 type checkedOnly struct {
 	archive *replica.Archive
-	quick   *replica.Server // answers its checks
-	slow    *replica.Server // does not
+	quick   *replica.Server // answers health checks
+	slow    *replica.Server // does not answer health checks
 }
 
 func startCheckedOnly(seed uint64) (*checkedOnly, error) {
 	archive := replica.NewArchive(1)
 	quick, err := archive.SRU("quick", seed)
 	if err != nil {
-		return nil, fmt.Errorf("start a server to check: %w", err)
+		return nil, fmt.Errorf("start the server that answers checks: %w", err)
 	}
 	slow, err := archive.SRU("slow", seed)
 	if err != nil {
 		quick.Kill()
-		return nil, fmt.Errorf("start a server to check: %w", err)
+		return nil, fmt.Errorf("start the server that does not answer checks: %w", err)
 	}
 	slow.SetHealth(replica.Health{Hang: true})
 	return &checkedOnly{archive: archive, quick: quick, slow: slow}, nil
 }
 
-// addr is the address of the server with an index.
+// addr returns the address of the server with an index.
 func (c *checkedOnly) addr(index int) string {
 	if index%slowServerEvery == 0 {
 		return c.slow.Addr()
@@ -91,21 +91,22 @@
 	c.archive.Close()
 }
 
-// measureDrain lets the agent of one replica say drain, and then ready again.
+// measureDrain makes the agent of one replica announce drain, and then ready.
 func measureDrain(r *Result, d *deployment.Deployment, index int) {
 	name := d.Replicas[index].Name
 	agent := d.Agents[index]
 	draining := d.Events.Next(deployment.HealthChanged(name, "drain"))
 	set := time.Now()
 	agent.Set(agentDrainAnswer, replica.Respond)
-	_, ok := wait(draining, set, 5*time.Second)
-	r.claim(ok, "%s: its drain was not noticed within 5 s", name)
+	_, ok := waitForEvent(draining, set, 5*time.Second)
+	r.assert(ok, "%s: its drain was not noticed within 5 s", name)
 	time.Sleep(2 * time.Second)
 	announced := agent.AnnouncedAt()
 	overdue, last := invariants.PartsAfter(d.Archive, name, announced, maxPartsAfter)
-	r.claim(len(overdue) == 0, "%s: %d new parts later than %v after it said drain", name, len(overdue), maxPartsAfter)
-	r.set("last-part-"+name+"-ms", float64(last.Microseconds())/1000)
-	r.set("heard-"+name+"-ms", float64(announced.Sub(set).Milliseconds()))
+	r.assert(len(overdue) == 0, "%s: %d new parts later than %v after it announced drain",
+		name, len(overdue), maxPartsAfter)
+	r.record("last-part-"+name+"-ms", float64(last.Microseconds())/1000)
+	r.record("heard-"+name+"-ms", float64(announced.Sub(set).Milliseconds()))
 	agent.Set(agentReadyAnswer, replica.Respond)
 	time.Sleep(time.Second)
 }
--- a/internal/testbed/health/health_test.go
+++ b/internal/testbed/health/health_test.go
@@ -13,15 +13,15 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// eventTimeout is how long an event is waited for: long enough for any machine, as reaching it is a failure.
+// eventTimeout bounds the wait for an event. It is long enough for a slow machine, because reaching it is a failure.
 const eventTimeout = 60 * time.Second
 
-// deadlineFactor makes the classes' deadlines so long that a slow machine does not make queries miss them: queries that
-// would miss them are rejected or fail, as under overload.
+// deadlineFactor lengthens the classes' deadlines, so that a slow machine does not cause queries to be rejected or to
+// fail as under overload.
 const deadlineFactor = 20
 
-// startDeployment starts a deployment whose checks are frequent. Its deadlines, and the timeouts of checks and of
-// connections, are so long that a slow machine does not reach them.
+// startDeployment starts a deployment with frequent health checks. A slow machine does not reach its deadlines, nor its
+// timeouts of checks and connections.
 func startDeployment(t *testing.T, options deployment.Options) *deployment.Deployment {
 	t.Helper()
 	options.Replicas = 4
@@ -39,7 +39,7 @@
 	return in
 }
 
-// underLoad starts callers, so that there are outcomes of parts to judge by. On a slow machine they call less often.
+// underLoad starts a load, so that the outcomes of parts give health evidence. A slow machine reduces its rate.
 func underLoad(t *testing.T, in *deployment.Deployment) (calls *load.Result, stop func()) {
 	t.Helper()
 	calls, stop = load.Start(load.Plan{
@@ -49,14 +49,14 @@
 		MaxInFlight: 8,
 		Mix:         load.DefaultMix,
 		Seed:        1,
-		Timeout:     2 * eventTimeout, // over every deadline
+		Timeout:     2 * eventTimeout, // longer than every deadline
 		Origins:     8,
 	})
 	t.Cleanup(stop)
 	return calls, stop
 }
 
-// awaitCalls waits until so many calls that began after a moment have ended.
+// awaitCalls waits until count calls that began after a moment have completed.
 func awaitCalls(t *testing.T, calls *load.Result, after time.Time, count int) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -64,10 +64,10 @@
 			return
 		}
 	}
-	t.Fatalf("%d calls have ended, not %d", len(calls.Calls(after, time.Now())), count)
+	t.Fatalf("%d calls have completed, want %d", len(calls.Calls(after, time.Now())), count)
 }
 
-// awaitParts waits until the replicas have got so many parts since a moment.
+// awaitParts waits until the replicas have received count parts since a moment.
 func awaitParts(t *testing.T, in *deployment.Deployment, since time.Time, count int) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -75,11 +75,11 @@
 			return
 		}
 	}
-	t.Fatalf("%d parts were sent, not %d", len(in.Archive.Events(since)), count)
+	t.Fatalf("%d parts were received, want %d", len(in.Archive.Events(since)), count)
 }
 
-// reportedState makes agent-checks until one reports something else than that the aggregator's loop stands still,
-// which is what the reports say while a busy machine gives the process no processor time.
+// reportedState repeats agent-checks until one does not report a blocked event loop, which a busy machine can cause by
+// giving the process no processor time.
 func reportedState(t *testing.T, in *deployment.Deployment) string {
 	t.Helper()
 	line := ""
@@ -101,7 +101,7 @@
 	case ev := <-events:
 		return ev
 	case <-time.After(eventTimeout):
-		t.Fatal("the event did not come")
+		t.Fatalf("no matching event within %v", eventTimeout)
 		return deployment.Event{}
 	}
 }
@@ -113,11 +113,11 @@
 	}
 	c := in.Frontend.Counters()
 	if c.Received != c.Served+c.Rejected+c.Failed+c.Disconnected+uint64(stillOpen(in)) {
-		t.Errorf("not every query was closed once: %v", c)
+		t.Errorf("not every received query has exactly one outcome: %v", c)
 	}
 }
 
-// stillOpen waits until every query has ended; -1: some has not within eventTimeout.
+// stillOpen waits until every query is completed, and returns 0; it returns -1 if eventTimeout elapses first.
 func stillOpen(in *deployment.Deployment) int {
 	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if c := in.Frontend.Counters(); c.Received == c.Served+c.Rejected+c.Failed+c.Disconnected {
@@ -127,15 +127,15 @@
 	return -1
 }
 
-// A replica that fails its parts while all its checks pass gets half-open requests only, no correction among them,
-// and is back once it is sound.
+// A replica that fails its parts while all its checks pass must receive only half-open requests, no correction among
+// them, and must return to service after the fault.
 func TestFailingReplica_GoodChecks_IsEjected(t *testing.T) {
 	in := startDeployment(t, deployment.Options{Agents: true})
 	_, stop := underLoad(t, in)
 	ejected := in.Events.Next(deployment.HealthChanged("n1", "parts fail"))
 	in.Replica("n1").SetFaults(replica.Faults{ErrorRate: 1})
 	await(t, ejected)
-	time.Sleep(300 * time.Millisecond) // what was on its way has arrived
+	time.Sleep(300 * time.Millisecond) // parts in flight have arrived
 	from := time.Now()
 	time.Sleep(3 * time.Second)
 	awaitParts(t, in, from, 100)
@@ -145,7 +145,7 @@
 	}
 	for _, e := range in.Archive.Events(from) {
 		if e.Replica == "n1" && e.IsCorrection {
-			t.Errorf("correction %s went to the failing replica", e.RecordID)
+			t.Errorf("correction %s was sent to the failing replica", e.RecordID)
 		}
 	}
 	back := in.Events.Next(deployment.HealthChanged("n1", "well"))
@@ -155,8 +155,8 @@
 	checkRules(t, in)
 }
 
-// Once a replica's agent has said drain, nothing new reaches it, though it holds shards that are read all the time,
-// and what was in flight is answered.
+// After a replica's agent has announced drain, no new part may reach the replica, although its shards are searched
+// continuously, and parts in flight must be answered.
 func TestDrainByAgent_NothingNewAndInFlightAnswered(t *testing.T) {
 	in := startDeployment(t, deployment.Options{Agents: true})
 	setAll(in, replica.Faults{Delay: 100 * time.Millisecond, InitDelay: 100 * time.Millisecond})
@@ -165,10 +165,10 @@
 		drained := in.Events.Next(deployment.HealthChanged(name, "drain"))
 		in.Agents[i].Set("up drain", replica.Respond)
 		ev := await(t, drained)
-		// What was on its way at that moment has long arrived; how soon it ends is for the recorded runs.
+		// Parts in flight at that moment arrive within this time. The recorded runs measure how soon parts stop.
 		time.Sleep(2 * time.Second)
 		if late, last := invariants.PartsAfter(in.Archive, name, ev.At, time.Second); len(late) > 0 {
-			t.Errorf("%s: %d new parts, the last %v after it said drain", name, len(late), last)
+			t.Errorf("%s: %d new parts, the last %v after its drain was logged", name, len(late), last)
 		}
 		well := in.Events.Next(deployment.HealthChanged(name, "well"))
 		in.Agents[i].Set("up ready", replica.Respond)
@@ -183,7 +183,8 @@
 	checkRules(t, in)
 }
 
-// A replica whose check says down gets no traffic; as the only holder of a shard it does, and the log says why.
+// A replica whose check reports down must receive no traffic until it is the only usable replica of a shard; then it
+// must, and the log must state the reason.
 func TestReplicaThatSaysDown_IsUsedAsOnlyHolder(t *testing.T) {
 	in := startDeployment(t, deployment.Options{SRUOnly: true})
 	ejected := in.Events.Next(deployment.HealthChanged("n1", "down (status 500)"))
@@ -199,20 +200,20 @@
 		}
 	}
 	if fraction, _ := invariants.TrafficFraction(in.Archive, "n1", from, time.Now()); fraction != 0 {
-		t.Errorf("%.0f%% of the parts at a replica that says down", 100*fraction)
+		t.Errorf("%.0f%% of the parts at a replica whose check reports down", 100*fraction)
 	}
 	onlyHolder := in.Events.Next(deployment.HealthChanged("n1", "alone"))
 	in.Replica("n2").Kill()
 	await(t, onlyHolder)
 	for i := range 10 {
 		if out := web.Correct("captions", fmt.Sprintf("1:alone-%d", i)); out != client.Complete {
-			t.Errorf("correction %d at the only holder: %v", i, out)
+			t.Errorf("correction %d at the only usable replica: %v", i, out)
 		}
 	}
 	checkRules(t, in)
 }
 
-// All checks fail while parts succeed: the checks are distrusted, and every search is answered completely.
+// All checks fail while parts succeed: the checks must be considered unreliable, and no query may fail or be rejected.
 func TestAllChecksFail_ServiceGoesOn(t *testing.T) {
 	in := startDeployment(t, deployment.Options{})
 	calls, stop := underLoad(t, in)
@@ -233,7 +234,7 @@
 	checkRules(t, in)
 }
 
-// Idle connections on any listener lock out nobody, on that one or another.
+// Idle connections on one listener must not prevent calls on any listener from being served.
 func TestIdleConnections_LockOutNobody(t *testing.T) {
 	r, err := IdleConnections(1)
 	if err != nil || len(r.Violations) > 0 || r.Values["asked"] < 1000 {
@@ -241,7 +242,7 @@
 	}
 }
 
-// The reported readiness names the shard that cannot be answered, in every format, and recovers with it.
+// The reported readiness must name the shard without a usable replica, and recover with the shard.
 func TestReadiness_NamesTheLostShard(t *testing.T) {
 	in := startDeployment(t, deployment.Options{SRUOnly: true})
 	ready := func(page string) (int, string) {
@@ -258,7 +259,7 @@
 				return body
 			}
 		}
-		t.Fatalf("%s does not become %d", page, want)
+		t.Fatalf("%s did not return status %d", page, want)
 		return ""
 	}
 	until("/readyz/captions", 200)
@@ -275,11 +276,11 @@
 	checkRules(t, in)
 }
 
-// checkDegraded checks what the pages say while one database is down and the other degraded. ready gets a page, and
-// returns its status, and its body behind Envoy's header.
+// checkDegraded checks the pages in every format while one database is down and the other degraded. ready fetches a
+// page, and returns its status and, separated by a bar, the value of Envoy's header and its body.
 func checkDegraded(t *testing.T, ready func(page string) (int, string)) {
 	t.Helper()
-	// Partial answers of the other database are still possible: it is degraded, and the aggregator serves.
+	// Partial answers from the other database are still possible: it is degraded, and the aggregator is ready.
 	if status, body := ready("/healthz?verbose"); status != 200 || !strings.HasPrefix(body, "1|up ready") ||
 		!strings.Contains(body, "[-] captions down") || !strings.Contains(body, "[~] coverage degraded") {
 		t.Errorf("%d %q", status, body)
--- a/internal/testbed/health/idle.go
+++ b/internal/testbed/health/idle.go
@@ -17,21 +17,22 @@
 
 const (
 	idleConnectionCount = 700 // on one listener
-	probeRounds         = 10  // of calls beside the idle connections
+	probeRounds         = 10  // rounds of calls while the idle connections are open
 	maxReportedFailures = 5
 )
 
-// The scenario's claim is that callers are served, not how soon: no limit of time is to decide on a slow machine.
+// The scenario asserts that callers are served, not how fast: a slow machine must not reach any of these timeouts.
 const (
-	probeTimeout       = 2 * time.Minute  // of each call, over every deadline
+	probeTimeout       = 2 * time.Minute  // of each call, longer than every deadline
 	settleTimeout      = time.Minute      // until the agent listener has answered or closed the idle connections
 	slowCallTimeout    = time.Minute      // until the slow calls' parts are in flight
 	idleDeadlineFactor = 20               // of the classes' deadlines
 	idleServerTimeout  = 30 * time.Second // of connections to replicas, and of their checks
 )
 
-// IdleConnections opens 700 idle or half-begun connections on each listener in turn. Meanwhile callers on every
-// listener, new ones included, and health checks are served, and an association keeps the result set that it uses.
+// IdleConnections opens 700 connections that are idle or have sent an incomplete request, on each listener in turn.
+// Meanwhile callers on every listener and health checks must be served, also on new connections, and an association
+// must retain a result set that it uses.
 func IdleConnections(seed uint64) (r Result, err error) {
 	d, err := deployment.Start(deployment.Options{
 		Replicas:       4,
@@ -51,38 +52,39 @@
 	}
 	defer session.Close()
 	if out := session.Search("kept", "captions", "budget"); out != client.Complete {
-		return r, fmt.Errorf("the search before the idle connections: %v", out)
+		return r, fmt.Errorf("search before the idle connections were opened: %v", out)
 	}
 	p := &lockoutProbe{deployment: d, session: session, result: &r}
 	for _, listener := range []string{"z3950", "sru", "health", "agent"} {
-		for _, sent := range halfBegun(listener) {
+		for _, sent := range partialRequests(listener) {
 			p.run(listener, sent)
 		}
 	}
-	r.set("asked", float64(p.checked))
-	r.set("not-served", float64(p.failed))
+	r.record("asked", float64(p.checked))
+	r.record("not-served", float64(p.failed))
 	r.checkCorrections(d)
 	return r, nil
 }
 
-// halfBegun are the beginnings that the connections send to a listener: nothing, too little, and a request or more.
-func halfBegun(listener string) []string {
+// partialRequests returns what the idle connections send to a listener: nothing, incomplete requests, and for Z39.50 a
+// complete Init.
+func partialRequests(listener string) []string {
 	if listener == "z3950" {
 		return []string{"", "G", "\xb4\x20", ber.InitAPDU("")}
 	}
 	return []string{"", "G", "\xb4\x20", "GET / HTTP/1.1\r\nHost: x\r\n"}
 }
 
-// lockoutProbe calls every listener beside idle connections, and counts what was not served.
+// lockoutProbe calls every listener while idle connections are open, and counts the calls that were not served.
 type lockoutProbe struct {
 	deployment *deployment.Deployment
 	session    *client.Origin // with a result set named kept
 	result     *Result
 	checked    int // calls
-	failed     int // of them
+	failed     int // calls that were not served
 }
 
-// check counts one call. Only the first failures are reported, with what came instead of the answer.
+// check counts one call. The first failures are reported with what was received instead of the answer.
 func (p *lockoutProbe) check(served bool, what string, got ...any) {
 	p.checked++
 	if served {
@@ -90,27 +92,27 @@
 	}
 	p.failed++
 	if p.failed <= maxReportedFailures {
-		p.result.claim(false, "%s was not served: %v", what, got)
+		p.result.assert(false, "%s was not served: %v", what, got)
 	}
 }
 
-// run opens idle connections on one listener and calls all of them.
+// run opens idle connections on one listener and calls all listeners.
 func (p *lockoutProbe) run(listener, sent string) {
 	outcomes := startSlowCalls(p.deployment)
 	idle := openIdleConnections(p.deployment.Frontend.Addr(listener), sent)
 	defer idle.close()
-	what := fmt.Sprintf("%s crowd of %d (%q)", listener, idleConnectionCount, sent)
+	what := fmt.Sprintf("%d idle connections on %s (%q)", idleConnectionCount, listener, sent)
 	for i := range probeRounds {
 		p.callSRU(what, fmt.Sprintf("%d:%s-%d-%d", i%4, listener, len(sent), i))
 		p.callZ3950(what)
 		if listener == "agent" && i == 0 {
-			err := idle.awaitAgent(settleTimeout)
-			p.result.claim(err == nil, "%s: were neither answered nor closed: %v", what, err)
+			err := idle.waitForAgent(settleTimeout)
+			p.result.assert(err == nil, "%s: some were neither answered nor closed: %v", what, err)
 		}
 		p.callHealth(what)
 	}
 	for name, out := range outcomes() {
-		p.check(out == client.Complete, what+": "+name+" begun before", out)
+		p.check(out == client.Complete, what+": "+name+" started before them", out)
 	}
 }
 
@@ -141,11 +143,12 @@
 	p.check(err == nil && status == 200, what+": health check", status, body, err)
 	response, err := p.session.RoundTrip(ber.PresentAPDU("kept", 1, 2))
 	presented := err == nil && response.Tag == ber.PresentResponse && ber.DiagnosticCode(response) == 0
-	p.check(presented, what+": a kept result set", response.Tag, err)
+	p.check(presented, what+": present from a retained result set", response.Tag, err)
 }
 
-// startSlowCalls begins a call over each protocol that takes a while, and returns once its parts are in flight: before,
-// its connection would be as idle as the others. outcomes waits for the answers, and names the calls.
+// startSlowCalls starts a slow call over each protocol, and returns once their parts are in flight: until then their
+// connections cannot be told from idle ones. outcomes waits for the answers, and returns them by a description of the
+// call.
 func startSlowCalls(d *deployment.Deployment) (outcomes func() map[string]client.Outcome) {
 	setAll(d, replica.Faults{Delay: 600 * time.Millisecond})
 	sru := make(chan client.Outcome, 1)
@@ -177,15 +180,15 @@
 	}
 }
 
-// idleConnections are open at one listener.
+// idleConnections are the open connections to one listener.
 type idleConnections []net.Conn
 
-// openIdleConnections opens connections that send a beginning and then nothing.
+// openIdleConnections opens connections that send one text and then nothing.
 func openIdleConnections(addr, sent string) (conns idleConnections) {
 	for range idleConnectionCount {
 		conn, err := net.DialTimeout("tcp", addr, 2*time.Second)
 		if err != nil {
-			continue // the listener may refuse it: only the callers have to be served
+			continue // the listener may refuse the connection; only callers must be served
 		}
 		if sent != "" {
 			_, _ = io.WriteString(conn, sent) // the listener may have closed it
@@ -195,10 +198,9 @@
 	return conns
 }
 
-// awaitAgent waits until the agent listener has answered or closed each connection: only then they are idle. Before,
-// they are agent-checks under way, and a listener whose sockets and places to wait are all taken by such turns others
-// away.
-func (conns idleConnections) awaitAgent(timeout time.Duration) error {
+// waitForAgent waits until the agent listener has answered or closed each connection. Until then the connections are
+// agent-checks in progress, and a listener whose sockets and wait queue are full of these rejects others.
+func (conns idleConnections) waitForAgent(timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	var firstByte [1]byte
 	for _, conn := range conns {
@@ -215,6 +217,6 @@
 
 func (conns idleConnections) close() {
 	for _, conn := range conns {
-		_ = conn.Close() // nothing is lost with it
+		_ = conn.Close() // no written data depends on it
 	}
 }
--- a/internal/testbed/health/observer.go
+++ b/internal/testbed/health/observer.go
@@ -9,23 +9,23 @@
 	"rooktrestle/internal/testbed/client"
 )
 
-// sampleInterval is how often the reported readiness is compared with what a client gets.
+// sampleInterval is the interval at which the reported readiness is compared with the outcome of a search.
 const sampleInterval = 50 * time.Millisecond
 
-// sample is one moment: what was reported, and what came of a search that was sent at that moment.
+// sample is one observation: the reported readiness, and the outcome of a search that was sent at the same moment.
 type sample struct {
 	at       time.Time
-	agent    string // answer of the agent-check; empty: it got none
-	status   int    // of /readyz/captions; 0: it got none
-	drain    bool   // the agent-check's answer says drain
+	agent    string // answer of the agent-check; empty: none
+	status   int    // of /readyz/captions; 0: no answer
+	drain    bool   // the agent-check's answer reports drain
 	outcome  client.Outcome
-	answered bool // the search has ended
+	answered bool // the search has completed
 }
 
-// isBetween says whether the sample was taken between two moments.
+// isBetween reports whether the sample was taken at or after from and before to.
 func (s *sample) isBetween(from, to time.Time) bool { return !s.at.Before(from) && s.at.Before(to) }
 
-// observer takes samples until it is stopped.
+// observer collects samples until it is stopped.
 type observer struct {
 	agentAddr  string
 	healthAddr string
@@ -38,7 +38,7 @@
 	running sync.WaitGroup
 }
 
-// newObserver starts an observer of the listeners at the three addresses.
+// newObserver starts an observer of the agent, health and SRU listeners at these addresses.
 func newObserver(agent, health, sru string) *observer {
 	o := &observer{
 		agentAddr:  agent,
@@ -92,13 +92,13 @@
 	s.drain = strings.Contains(line, "drain")
 }
 
-// stop ends the observer and waits for the calls in flight. It may be called more than once.
+// stop stops the observer and waits for the calls in flight. It may be called more than once.
 func (o *observer) stop() {
 	o.once.Do(func() { close(o.quit) })
 	o.running.Wait()
 }
 
-// weight is what the agent-check reported, in percent; 0 if it reported none.
+// weight returns the weight in percent that the agent-check reported, or 0 if it reported none.
 func (s *sample) weight() (weight int) {
 	line, _, _ := strings.Cut(s.agent, "#")
 	for _, field := range strings.Fields(line) {
@@ -113,7 +113,8 @@
 	return weight
 }
 
-// rejections is the fraction of the searches between two moments that was rejected, and the median of the weights.
+// rejections returns the fraction of the searches between two moments that was rejected, and the median of the reported
+// weights.
 func (o *observer) rejections(from, to time.Time) (rejected, weight float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,7 +137,7 @@
 	return rejected / answered, weights[len(weights)/2]
 }
 
-// drainReported is how long after a moment a drain was first reported; 0: never.
+// drainReported returns the time from a moment to the first report of a drain, or 0 if there was none.
 func (o *observer) drainReported(at time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -148,28 +149,28 @@
 	return 0
 }
 
-// minHonestWeight is the least weight that promises that queries are admitted, in percent.
-const minHonestWeight = 50
+// maxOverloadWeight is the weight in percent up to which rejected queries do not contradict the report.
+const maxOverloadWeight = 50
 
-// isInaccurate says whether the report differs from what the client got. Partial and overdue answers may come
-// whatever is reported, and rejections where the weight is low.
+// isInaccurate reports whether the reported readiness contradicts the outcome of the search. Partial and overdue
+// answers contradict no report, and rejections do not contradict a low weight.
 func (s *sample) isInaccurate() bool {
 	switch {
 	case !s.answered || s.agent == "":
 		return false
-	case s.drain: // served or not, a balancer is to go elsewhere
+	case s.drain: // a load balancer must use other instances, whether or not queries are served
 		return false
 	case s.outcome == client.Complete:
 		return s.status != 200
 	case s.outcome == client.Rejected:
-		return s.weight() > minHonestWeight && s.status == 200
+		return s.weight() > maxOverloadWeight && s.status == 200
 	case s.outcome == client.Failed || s.outcome == client.Disconnected:
 		return s.status == 200
 	}
 	return false
 }
 
-// inaccurate is for how long between two moments the report was inaccurate, in all and at the longest stretch.
+// inaccurate returns for how long the report was inaccurate between two moments, in total and without interruption.
 func (o *observer) inaccurate(from, to time.Time) (total, longest time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/testbed/health/readiness.go
+++ b/internal/testbed/health/readiness.go
@@ -9,11 +9,13 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// maxInaccurate bounds for how long the reported readiness may differ from what clients get, in one phase.
+// maxInaccurate bounds the total time in one phase for which the reported readiness may contradict the clients'
+// outcomes.
 const maxInaccurate = time.Second
 
-// ReadinessAccuracy compares the readiness that the aggregator reports with what a client gets at the same moment, each
-// 50 ms: while a shard loses its holders and gets them back, while the aggregator is overloaded, and while it drains.
+// ReadinessAccuracy compares the readiness that the aggregator reports with the outcome of a search at the same moment,
+// every 50 ms: while the replicas of a shard are down and after their return, while health checks fail, while the
+// aggregator is overloaded, and while it drains.
 func ReadinessAccuracy(seed uint64) (r Result, err error) {
 	d, err := deployment.Start(deployment.Options{Replicas: 4, Reach: 2, Seed: seed, MaxOpen: 200})
 	if err != nil {
@@ -37,14 +39,14 @@
 	return r, nil
 }
 
-// setAll gives every replica the same faults.
+// setAll sets the same faults at every replica.
 func setAll(d *deployment.Deployment, faults replica.Faults) {
 	for _, server := range d.Replicas {
 		server.SetFaults(faults)
 	}
 }
 
-// setAllHealth makes every replica's checks say the same.
+// setAllHealth sets the same answers to health checks at every replica.
 func setAllHealth(d *deployment.Deployment, health replica.Health) {
 	for _, server := range d.Replicas {
 		server.SetHealth(health)
@@ -58,14 +60,14 @@
 	observer   *observer
 }
 
-// run changes something, lets the aggregator run for d, and returns when the phase began.
+// run calls change, waits for d, records the inaccuracy in that time, and returns when the phase began.
 func (p *readinessPhases) run(name string, d time.Duration, change func()) time.Time {
 	at := time.Now()
 	change()
 	time.Sleep(d)
 	inaccurate, longest := p.observer.inaccurate(at, time.Now().Add(-500*time.Millisecond))
-	p.result.set("untrue-"+name+"-ms", float64(inaccurate.Milliseconds()))
-	p.result.claim(inaccurate < maxInaccurate, "%s: inaccurate for %v, %v at a stretch", name, inaccurate, longest)
+	p.result.record("untrue-"+name+"-ms", float64(inaccurate.Milliseconds()))
+	p.result.assert(inaccurate < maxInaccurate, "%s: inaccurate for %v, longest interval %v", name, inaccurate, longest)
 	return at
 }
 
@@ -81,7 +83,7 @@
 	p.run("block-back", 5*time.Second, func() {
 		for _, n := range holders {
 			if startErr := n.Start(); startErr != nil {
-				err = fmt.Errorf("start %s again: %w", n.Name, startErr)
+				err = fmt.Errorf("restart %s: %w", n.Name, startErr)
 			}
 		}
 	})
@@ -111,16 +113,16 @@
 		})
 	})
 	rejected, weight := p.observer.rejections(at.Add(time.Second), time.Now())
-	r.set("overload-refused-%", 100*rejected)
-	r.set("overload-weight-median-%", weight)
-	r.claim(rejected > 0.2 && weight <= 50, "no overload to speak of: %.0f%% rejected, weight %v", 100*rejected, weight)
+	r.record("overload-refused-%", 100*rejected)
+	r.record("overload-weight-median-%", weight)
+	r.assert(rejected > 0.2 && weight <= 50, "no overload: %.0f%% rejected, median weight %v%%", 100*rejected, weight)
 	p.run("overload-over", 5*time.Second, func() {
 		setAll(p.deployment, steady())
 		go stop()
 	})
 }
 
-// drain stops the frontend.
+// drain stops the frontend and checks how soon it reports that.
 func (p *readinessPhases) drain() {
 	r := p.result
 	frontend := p.deployment.Frontend
@@ -133,8 +135,8 @@
 	})
 	p.observer.stop()
 	reported := p.observer.drainReported(at)
-	r.set("drain-told-ms", float64(reported.Milliseconds()))
-	r.claim(reported > 0 && reported < time.Second, "the drain was reported after %v", reported)
+	r.record("drain-told-ms", float64(reported.Milliseconds()))
+	r.assert(reported > 0 && reported < time.Second, "the drain was reported after %v", reported)
 	<-stopped
 	p.deployment.Frontend = nil // stopped already
 }
--- a/internal/testbed/health/scenario.go
+++ b/internal/testbed/health/scenario.go
@@ -1,7 +1,7 @@
-// Package health has the experiments on health evidence: replicas whose checks contradict what they do, drains,
-// checks that all fail, agents that misbehave, many idle connections, and whether the readiness that the aggregator
-// reports is what a client gets. Each scenario runs the real frontends on loopback against stand-in replicas,
-// measures, and reports which of its claims did not hold.
+// Package health contains the experiments on health evidence: replicas whose checks contradict how they serve, drains,
+// checks that all fail, misbehaving agents, many idle connections, and the accuracy of the readiness that the
+// aggregator reports. Each scenario runs the real frontends on loopback against stand-in replicas, measures, and
+// reports which of its assertions failed.
 package health
 
 import (
@@ -14,51 +14,52 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// Result of one run of a scenario.
+// Result is the result of one run of a scenario.
 type Result struct {
-	Values     map[string]float64 // measured; names end in their unit
-	Violations []string           // claims that did not hold
-	Series     []Point            // of one replica's traffic fraction over time, where the scenario has one
+	Values     map[string]float64 // measured values; a name ends with its unit, unless it is a count
+	Violations []string           // failed assertions
+	Series     []Point            // one replica's fraction of the traffic over time; nil: not recorded
 }
 
-// Point of a series: seconds after the fault, and percent.
+// Point is a point of a series: the time in seconds after the fault, and a percentage.
 type Point struct{ At, Value float64 }
 
-func (r *Result) set(name string, value float64) {
+func (r *Result) record(name string, value float64) {
 	if r.Values == nil {
 		r.Values = map[string]float64{}
 	}
 	r.Values[name] = value
 }
 
-// claim notes a violation unless a claim holds.
-func (r *Result) claim(holds bool, format string, args ...any) {
+// assert records a violation unless holds is true.
+func (r *Result) assert(holds bool, format string, args ...any) {
 	if !holds {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkCorrections claims that no correction ran twice.
+// checkCorrections asserts that no correction ran twice.
 func (r *Result) checkCorrections(d *deployment.Deployment) {
 	duplicates := invariants.DuplicateCorrections(d.Archive)
-	r.set("corrections-twice", float64(len(duplicates)))
-	r.claim(len(duplicates) == 0, "corrections ran twice: %v", duplicates)
+	r.record("corrections-twice", float64(len(duplicates)))
+	r.assert(len(duplicates) == 0, "corrections ran twice: %v", duplicates)
 }
 
-// minCompleteFraction of the answers is claimed wherever enough replicas can answer.
+// minCompleteFraction is the minimum fraction of complete answers while every shard has a usable replica.
 const minCompleteFraction = 0.995
 
-// checkComplete claims that nearly all calls were answered completely.
-func (r *Result) checkComplete(calls []load.Call, while string) {
+// checkComplete asserts that the fraction of complete answers is at least minCompleteFraction. suffix is
+// appended to the text of the violation.
+func (r *Result) checkComplete(calls []load.Call, suffix string) {
 	complete := load.CompleteFraction(calls)
-	r.set("whole-%", 100*complete)
-	r.claim(complete >= minCompleteFraction, "%.2f%% complete answers%s", 100*complete, while)
+	r.record("whole-%", 100*complete)
+	r.assert(complete >= minCompleteFraction, "%.2f%% complete answers%s", 100*complete, suffix)
 }
 
 // Scenario is one experiment.
 type Scenario struct {
 	Name string // on the command line and in reports
-	What string // what happens in it, for reports
+	What string // description, for reports
 	Run  func(seed uint64) (Result, error)
 }
 
@@ -101,10 +102,10 @@
 	},
 }
 
-// loadRate is that of the steady load, in calls a second; a search has a part for each shard.
+// loadRate is the rate of the load, in calls per second; a search has a part for each shard.
 const loadRate = 40
 
-// callTimeout is when the load's callers give up.
+// callTimeout is the timeout of the load's calls.
 const callTimeout = 5 * time.Second
 
 func startLoad(d *deployment.Deployment, seed uint64) (calls *load.Result, stop func()) {
@@ -119,8 +120,7 @@
 	})
 }
 
-// startUnderLoad starts a deployment whose replicas answer steadily, with callers. stop ends the callers, not the
-// deployment.
+// startUnderLoad starts a deployment of healthy replicas, and a load on it. stop ends the load, not the deployment.
 func startUnderLoad(
 	options deployment.Options, seed uint64,
 ) (d *deployment.Deployment, calls *load.Result, stop func(), err error) {
@@ -133,13 +133,16 @@
 	return d, calls, stop, nil
 }
 
-// steady is the behavior of a sound replica.
+// steady returns the behavior of a healthy replica: only short delays.
 func steady() replica.Faults {
 	return replica.Faults{Delay: 5 * time.Millisecond, Jitter: 10 * time.Millisecond}
 }
 
-// wait waits for an event, for timeout at most, and returns how long after since it came.
-func wait(events <-chan deployment.Event, since time.Time, timeout time.Duration) (elapsed time.Duration, ok bool) {
+// waitForEvent waits for an event, for at most timeout, and returns the time from since to the event. ok is false if
+// the timeout elapsed.
+func waitForEvent(
+	events <-chan deployment.Event, since time.Time, timeout time.Duration,
+) (elapsed time.Duration, ok bool) {
 	select {
 	case ev := <-events:
 		return ev.At.Sub(since), true
