--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -15,10 +15,10 @@
 	"rooktrestle/internal/testbed/sim"
 )
 
-// confidence is that of the intervals over seeds.
+// confidence is the confidence level of the intervals over seeds.
 const confidence = 0.95
 
-// interval is a mean over seeds with the half width of its confidence interval; under two seeds there is none.
+// interval is a mean over seeds with the half width of its confidence interval, which is 0 for fewer than two seeds.
 type interval struct {
 	Mean float64 `json:"mean"`
 	Half float64 `json:"half"`
@@ -36,25 +36,25 @@
 
 func (i interval) String() string { return fmt.Sprintf("%.3f ± %.3f", i.Mean, i.Half) }
 
-// daySummary is what the seeds of one day came to, in fractions of the clients' queries.
-type daySummary struct {
-	Day                string              `json:"day"`
+// fleetSummary aggregates the results of one scenario over its seeds, in fractions of the clients' queries.
+type fleetSummary struct {
+	Scenario           string              `json:"day"`
 	Seeds              int                 `json:"seeds"`
 	Answered           interval            `json:"answered"`
 	WithinObjective    map[string]interval `json:"in_time"` // by class
 	DiscoveryPolls     interval            `json:"list_calls"`
 	ReplicasOverloaded int                 `json:"nodes_fallen"`
-	Violations         map[uint64]string   `json:"broken"` // the first of each seed that has one
+	Violations         map[uint64]string   `json:"broken"` // the first violation of each seed that has one
 
-	// Of each seed, in the order of the seeds.
+	// One value per seed, in the order of the seeds.
 	goodput         []float64
 	withinObjective map[string][]float64
 	polls           []float64
 }
 
-func newDaySummary(day string, seeds int) *daySummary {
-	return &daySummary{
-		Day:             day,
+func newFleetSummary(scenario string, seeds int) *fleetSummary {
+	return &fleetSummary{
+		Scenario:        scenario,
 		Seeds:           seeds,
 		WithinObjective: map[string]interval{},
 		Violations:      map[uint64]string{},
@@ -62,11 +62,11 @@
 	}
 }
 
-// classNames are those of the simulator's classes, by index.
+// classNames are the names of the simulator's classes, by index.
 var classNames = [...]string{"search", "report", "correction"}
 
-// add adds the result of the next seed.
-func (d *daySummary) add(seed uint64, result sim.Result) {
+// add records the result of the next seed.
+func (d *fleetSummary) add(seed uint64, result sim.Result) {
 	d.goodput = append(d.goodput, result.Goodput())
 	d.polls = append(d.polls, float64(result.DiscoveryPolls))
 	for i, class := range result.Classes {
@@ -83,8 +83,8 @@
 	}
 }
 
-// summarize computes the intervals once every seed is added.
-func (d *daySummary) summarize() {
+// summarize computes the intervals. It is called after the last add.
+func (d *fleetSummary) summarize() {
 	d.Answered = intervalOf(d.goodput)
 	d.DiscoveryPolls = intervalOf(d.polls)
 	for name, fractions := range d.withinObjective {
@@ -92,7 +92,7 @@
 	}
 }
 
-// daysOptions are those of the days command.
+// daysOptions are the flags of the days command.
 type daysOptions struct {
 	seeds       int
 	firstSeed   uint64
@@ -101,16 +101,16 @@
 	asJSON      bool
 }
 
-// daysCommand plays days of whole fleets.
+// daysCommand returns the command that simulates scenarios of complete fleets.
 func daysCommand() *cobra.Command {
 	var options daysOptions
 	c := &cobra.Command{
 		Use:   "days [DAY...]",
-		Short: "Play days of whole fleets under virtual time, and print what was answered with its interval over seeds",
-		Long: "Plays days of whole fleets under virtual time: aggregators killed at once during a release, " +
-			"a zone lost and back warming up,\n" +
-			"zones cut off from each other while discovery is unresponsive, most replicas replaced. " +
-			"Exit status 1: a rule was broken.",
+		Short: "Simulate scenarios of complete fleets in virtual time, and print goodput with its interval over seeds",
+		Long: "Simulates scenarios of complete fleets in virtual time: aggregators crash at once during a release, " +
+			"a zone fails and restarts warming up,\n" +
+			"the zones are partitioned while discovery is unresponsive, most replicas are replaced. " +
+			"Exit status 1: an invariant was violated.",
 		Example: "  testbed days herd split --mixers 300 --nodes 200 --seeds 20\n" +
 			"  testbed days herd --seed 7 --seeds 1 --json",
 		ValidArgs: sim.ScenarioNames,
@@ -119,25 +119,25 @@
 				names = sim.ScenarioNames
 			}
 			if options.seeds < 1 {
-				return fmt.Errorf("--seeds at least 1")
+				return fmt.Errorf("--seeds %d: must be at least 1", options.seeds)
 			}
 			return runDays(&output{writer: cmd.OutOrStdout()}, names, options)
 		},
 	}
-	c.Flags().IntVar(&options.seeds, "seeds", 4, "how many of each day")
-	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first")
-	c.Flags().IntVar(&options.aggregators, "mixers", 60, "aggregators of the fleet")
-	c.Flags().IntVar(&options.replicas, "nodes", 40, "replicas of the archive")
-	c.Flags().BoolVar(&options.asJSON, "json", false, "for scripts")
+	c.Flags().IntVar(&options.seeds, "seeds", 4, "number of seeds of each scenario")
+	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "first seed")
+	c.Flags().IntVar(&options.aggregators, "mixers", 60, "number of aggregators in the fleet")
+	c.Flags().IntVar(&options.replicas, "nodes", 40, "number of replicas of the archive")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print JSON")
 	return c
 }
 
 func runDays(out *output, names []string, options daysOptions) error {
 	violated := false
-	var summaries []*daySummary
+	var summaries []*fleetSummary
 	for _, name := range names {
-		d := newDaySummary(name, options.seeds)
-		if err := d.play(options); err != nil {
+		d := newFleetSummary(name, options.seeds)
+		if err := d.run(options); err != nil {
 			return err
 		}
 		d.summarize()
@@ -151,25 +151,26 @@
 		out.printJSON(summaries)
 	}
 	if out.err == nil && violated {
-		return errClaimsFailed
+		return errAssertionsFailed
 	}
 	return out.err
 }
 
-// play plays the seeds of a day concurrently, and adds them in their order: sums of floats depend on it.
-func (d *daySummary) play(options daysOptions) error {
+// run simulates the seeds of a scenario concurrently. It adds their results in the order of the seeds, because the sums
+// of floating-point values depend on the order.
+func (d *fleetSummary) run(options daysOptions) error {
 	results := make([]sim.Result, d.Seeds)
 	errs := make([]error, d.Seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range d.Seeds {
 		slots <- struct{}{}
-		players.Go(func() {
+		workers.Go(func() {
 			defer func() { <-slots }()
-			results[i], errs[i] = playSeed(d.Day, options.firstSeed+uint64(i), options)
+			results[i], errs[i] = runSeed(d.Scenario, options.firstSeed+uint64(i), options)
 		})
 	}
-	players.Wait()
+	workers.Wait()
 	for i, r := range results {
 		if errs[i] != nil {
 			return errs[i]
@@ -179,16 +180,16 @@
 	return nil
 }
 
-func playSeed(day string, seed uint64, options daysOptions) (sim.Result, error) {
-	s, err := sim.ScenarioSettings(day, seed, options.aggregators, options.replicas)
+func runSeed(scenario string, seed uint64, options daysOptions) (sim.Result, error) {
+	s, err := sim.ScenarioSettings(scenario, seed, options.aggregators, options.replicas)
 	if err != nil {
 		return sim.Result{}, err
 	}
 	return sim.Run(s)
 }
 
-func (d *daySummary) print(out *output) {
-	out.printf("%-6s answered %v; in time:", d.Day, d.Answered)
+func (d *fleetSummary) print(out *output) {
+	out.printf("%-6s answered %v; in time:", d.Scenario, d.Answered)
 	for _, name := range classNames {
 		out.printf(" %s %v,", name, d.WithinObjective[name])
 	}
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -17,15 +17,15 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// demoOptions are those of the demo command.
+// demoOptions are the flags of the demo command.
 type demoOptions struct {
-	duration time.Duration // 0: until it is interrupted
+	duration time.Duration // 0: until the process is interrupted
 	replicas int
 	seed     uint64
 	verbose  bool
 }
 
-// minDemoDuration leaves time for each phase.
+// minDemoDuration leaves enough time for each phase.
 const minDemoDuration = 3 * time.Second
 
 func demoCommand() *cobra.Command {
@@ -33,24 +33,24 @@
 	c := &cobra.Command{
 		Use: "demo",
 		Short: "Start replicas of both protocols, the real frontends and a few clients, " +
-			"and show what becomes of a drain",
+			"and show the effect of draining a replica",
 		Example: "  testbed demo --for 10s --nodes 6 --seed 7",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.replicas < 3 || options.replicas > 64 {
-				return fmt.Errorf("--nodes %d: 3 to 64", options.replicas)
+				return fmt.Errorf("--nodes %d: must be from 3 to 64", options.replicas)
 			}
 			if options.duration != 0 && options.duration < minDemoDuration {
-				return fmt.Errorf("--for %v: at least %v, or 0 until it is interrupted",
+				return fmt.Errorf("--for %v: must be at least %v, or 0 to run until interrupted",
 					options.duration, minDemoDuration)
 			}
 			return runDemo(&output{writer: cmd.OutOrStdout()}, options)
 		},
 	}
-	c.Flags().DurationVar(&options.duration, "for", 0, "how long; 0: until it is interrupted")
-	c.Flags().IntVar(&options.replicas, "nodes", 6, "stand-in replicas, every second one of Z39.50")
-	c.Flags().Uint64Var(&options.seed, "seed", 1, "of all random samples")
-	c.Flags().BoolVarP(&options.verbose, "verbose", "v", false, "show what the aggregator logs")
+	c.Flags().DurationVar(&options.duration, "for", 0, "duration of the demonstration; 0: until interrupted")
+	c.Flags().IntVar(&options.replicas, "nodes", 6, "number of stand-in replicas; every second one uses Z39.50")
+	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the random number generators")
+	c.Flags().BoolVarP(&options.verbose, "verbose", "v", false, "print the log of the aggregator")
 	return c
 }
 
@@ -87,8 +87,8 @@
 		Timeout: 5 * time.Second,
 		Origins: 8,
 	})
-	player := demoPlayer{out: out, deployment: d, begin: begin, interrupted: interrupted}
-	phases := player.play(options.duration)
+	runner := demoRunner{out: out, deployment: d, begin: begin, interrupted: interrupted}
+	phases := runner.run(options.duration)
 	end := time.Now()
 	stop()
 	return reportDemo(out, d, calls, append(phases, end))
@@ -105,24 +105,24 @@
 	out.printf("\n  curl '%s'\n  curl 'http://%s/readyz?verbose'\n\n", web.SearchURL("captions", "budget"), health)
 }
 
-// demoPlayer plays the phases of the demonstration.
-type demoPlayer struct {
+// demoRunner runs the phases of the demonstration.
+type demoRunner struct {
 	out         *output
 	deployment  *deployment.Deployment
 	begin       time.Time
 	interrupted <-chan os.Signal
 }
 
-// demoPhase begins when the agent of n1 changes what it says.
+// demoPhase begins when the agent of n1 changes its answer.
 type demoPhase struct {
-	begin  time.Duration // after the beginning of the demonstration
+	begin  time.Duration // since the start of the demonstration
 	state  string
 	answer string // of the agent
 }
 
-// play lets one replica drain and come back, within a duration; 0: until it is interrupted. It returns when each phase
-// began, and ends early when it is interrupted.
-func (p *demoPlayer) play(duration time.Duration) []time.Time {
+// run drains one replica and returns it to service within duration; 0: it runs until interrupted. It returns the start
+// time of each phase that began before an interrupt.
+func (p *demoRunner) run(duration time.Duration) []time.Time {
 	drain := demoPhase{begin: 4 * time.Second, state: "drain", answer: "up drain"}
 	ready := demoPhase{begin: 8 * time.Second, state: "ready", answer: "up ready 100%"}
 	if duration > 0 {
@@ -146,8 +146,9 @@
 	return begins
 }
 
-// waitUntil waits until so long after the beginning; false: it was interrupted.
-func (p *demoPlayer) waitUntil(elapsed time.Duration) bool {
+// waitUntil waits until elapsed has passed since the start of the demonstration. It returns false if it was
+// interrupted.
+func (p *demoRunner) waitUntil(elapsed time.Duration) bool {
 	select {
 	case <-p.interrupted:
 		return false
@@ -180,7 +181,7 @@
 		out.printf("last new part at n1 after it said drain: %v\n", last.Round(time.Millisecond))
 	}
 	if twice := invariants.DuplicateCorrections(d.Archive); len(twice) > 0 {
-		return fmt.Errorf("%w: corrections ran twice: %v", errClaimsFailed, twice)
+		return fmt.Errorf("%w: corrections ran twice: %v", errAssertionsFailed, twice)
 	}
 	out.println("no correction ran twice")
 	return out.err
--- a/cmd/testbed/health.go
+++ b/cmd/testbed/health.go
@@ -15,50 +15,50 @@
 	"rooktrestle/internal/testbed/health"
 )
 
-// maxSeeds bounds one run of the experiments.
+// maxSeeds bounds the number of seeds of one run.
 const maxSeeds = 1000
 
-// healthOptions are those of the health command.
+// healthOptions are the flags of the health command.
 type healthOptions struct {
 	seeds     int
 	firstSeed uint64
 	only      []string // names of scenarios; empty: all
 	asJSON    bool
-	plot      string // file; empty: none
+	plot      string // path of the image file; empty: none
 }
 
 func healthCommand() *cobra.Command {
 	var options healthOptions
 	c := &cobra.Command{
 		Use:     "health",
-		Short:   "Run the experiments on health evidence over several seeds and print median and worst",
+		Short:   "Run the experiments on health evidence over several seeds, and print min, median and max",
 		Example: "  testbed health --seeds 20 --only liar-up --plot share.png",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.seeds < 1 || options.seeds > maxSeeds {
-				return fmt.Errorf("--seeds %d: 1 to %d", options.seeds, maxSeeds)
+				return fmt.Errorf("--seeds %d: must be from 1 to %d", options.seeds, maxSeeds)
 			}
 			return runHealth(&output{writer: cmd.OutOrStdout()}, &output{writer: cmd.ErrOrStderr()}, options)
 		},
 	}
-	c.Flags().IntVar(&options.seeds, "seeds", 1, "how many seeds")
-	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first")
-	c.Flags().StringSliceVar(&options.only, "only", nil, "scenarios by name; all if none is named")
-	c.Flags().BoolVar(&options.asJSON, "json", false, "all values as JSON")
-	c.Flags().StringVar(&options.plot, "plot", "", "draw the replica's share over time into this PNG or SVG file")
+	c.Flags().IntVar(&options.seeds, "seeds", 1, "number of seeds")
+	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "first seed")
+	c.Flags().StringSliceVar(&options.only, "only", nil, "names of the scenarios to run; empty: all")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print all values as JSON")
+	c.Flags().StringVar(&options.plot, "plot", "", "PNG or SVG file for a plot of the replica's traffic over time")
 	return c
 }
 
-// scenarioReport is what all seeds of one scenario came to.
+// scenarioReport aggregates the results of one scenario over its seeds.
 type scenarioReport struct {
 	Violations []string             `json:"broken"`
 	Values     map[string][]float64 `json:"values"` // by measure, in the order of the seeds
 	What       string               `json:"what"`
 
-	series [][]health.Point // one a seed, where the scenario has one
+	series [][]health.Point // one per seed, for a scenario that records one
 }
 
-// runHealth runs the scenarios and reports on out; progress takes a line a run.
+// runHealth runs the selected scenarios and writes the report to out, and one line per run to progress.
 func runHealth(out, progress *output, options healthOptions) error {
 	reports := map[string]*scenarioReport{}
 	violations := 0
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(reports) == 0 {
-		return fmt.Errorf("--only %v: no such scenario", options.only)
+		return fmt.Errorf("--only %v: no scenario has such a name", options.only)
 	}
 	if options.asJSON {
 		out.printJSON(reports)
@@ -91,7 +91,7 @@
 	case out.err != nil:
 		return out.err
 	case violations > 0:
-		return fmt.Errorf("%w: %d broken", errClaimsFailed, violations)
+		return fmt.Errorf("%w: %d violations", errAssertionsFailed, violations)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 	out.println()
 }
 
-// plotSeries draws a replica's share of the parts over time, one line a seed.
+// plotSeries plots a replica's fraction of the parts over time, one line per seed.
 func plotSeries(file, title string, series [][]health.Point) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -13,10 +13,10 @@
 	"rooktrestle/internal/testbed/sim"
 )
 
-// shrinkRuns bounds how many runs the shrinking of one violation takes.
+// shrinkRuns bounds the number of runs spent on shrinking one violation.
 const shrinkRuns = 100
 
-// huntOptions are those of the hunt command.
+// huntOptions are the flags of the hunt command.
 type huntOptions struct {
 	seeds     int
 	firstSeed uint64
@@ -24,14 +24,14 @@
 	dir       string
 }
 
-// huntCommand searches seeds for violations of the rules.
+// huntCommand returns the command that searches random seeds for violations of the invariants.
 func huntCommand() *cobra.Command {
 	var options huntOptions
 	var replay string
 	c := &cobra.Command{
 		Use: "hunt",
-		Short: "Play random fleets with random faults, " +
-			"and shrink each run that breaks a rule to a file that can be replayed",
+		Short: "Simulate random fleets with random faults, " +
+			"and shrink each run that violates an invariant to a file that can be replayed",
 		Example: "  testbed hunt --seeds 1000 --for 5m\n  testbed hunt --replay broken-17.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -40,28 +40,29 @@
 				return replayFile(out, replay)
 			}
 			if options.seeds < 1 || options.duration <= 0 {
-				return fmt.Errorf("--seeds at least 1, --for over 0")
+				return fmt.Errorf("--seeds %d, --for %v: --seeds must be at least 1, --for over 0",
+					options.seeds, options.duration)
 			}
 			return runHunt(out, options)
 		},
 	}
-	c.Flags().IntVar(&options.seeds, "seeds", 200, "how many seeds")
-	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first")
-	c.Flags().DurationVar(&options.duration, "for", time.Minute, "no new run is begun after so long")
-	c.Flags().StringVar(&options.dir, "dir", ".", "where shrunk runs are written")
-	c.Flags().StringVar(&replay, "replay", "", "play one written run again")
+	c.Flags().IntVar(&options.seeds, "seeds", 200, "number of seeds")
+	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "first seed")
+	c.Flags().DurationVar(&options.duration, "for", time.Minute, "time after which no new run is started")
+	c.Flags().StringVar(&options.dir, "dir", ".", "directory for the replay files of shrunk runs")
+	c.Flags().StringVar(&replay, "replay", "", "replay the run in this file")
 	return c
 }
 
-// replayFile plays the settings of a file that a hunt wrote.
+// replayFile simulates the settings of a replay file written by this command.
 func replayFile(out *output, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("read the run to replay: %w", err)
+		return fmt.Errorf("read the replay file: %w", err)
 	}
 	var settings sim.Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("parse the replay file %s: %w", path, err)
 	}
 	r, err := sim.Run(settings)
 	if err != nil {
@@ -72,48 +73,48 @@
 		out.println(violation)
 	}
 	if out.err == nil && len(r.Violations) > 0 {
-		return errClaimsFailed
+		return errAssertionsFailed
 	}
 	return out.err
 }
 
-// seedHunt plays seeds on all processors.
-type seedHunt struct {
+// seedSearch simulates seeds on all processors.
+type seedSearch struct {
 	options huntOptions
 	end     time.Time
 
 	mu        sync.Mutex
 	out       *output
 	next      uint64
-	played    int
+	runCount  int
 	violating int
 	events    uint64
-	failure   error // ends the hunt
+	failure   error // ends the search
 }
 
 func runHunt(out *output, options huntOptions) error {
-	h := &seedHunt{options: options, end: time.Now().Add(options.duration), out: out, next: options.firstSeed}
-	var players sync.WaitGroup
+	h := &seedSearch{options: options, end: time.Now().Add(options.duration), out: out, next: options.firstSeed}
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		players.Go(h.playSeeds)
+		workers.Go(h.runSeeds)
 	}
-	players.Wait()
-	out.printf("%d runs, %d events, %d broke a rule\n", h.played, h.events, h.violating)
+	workers.Wait()
+	out.printf("%d runs, %d events, %d broke a rule\n", h.runCount, h.events, h.violating)
 	switch {
 	case h.failure != nil:
 		return h.failure
 	case out.err != nil:
 		return out.err
 	case h.violating > 0:
-		return errClaimsFailed
+		return errAssertionsFailed
 	}
 	return nil
 }
 
-// playSeeds plays one seed after the other until the hunt ends.
-func (h *seedHunt) playSeeds() {
+// runSeeds simulates one seed after the other until the search ends.
+func (h *seedSearch) runSeeds() {
 	for {
-		seed, ok := h.take()
+		seed, ok := h.nextSeed()
 		if !ok {
 			return
 		}
@@ -126,29 +127,29 @@
 	}
 }
 
-// take takes the next seed; there is none once the hunt is over.
-func (h *seedHunt) take() (seed uint64, ok bool) {
+// nextSeed returns the next seed; ok is false once the search has ended.
+func (h *seedSearch) nextSeed() (seed uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	seed = h.next
 	h.next++
-	played := seed >= h.options.firstSeed+uint64(h.options.seeds)
-	over := played || time.Now().After(h.end) || h.failure != nil
-	return seed, !over
+	exhausted := seed >= h.options.firstSeed+uint64(h.options.seeds)
+	stop := exhausted || time.Now().After(h.end) || h.failure != nil
+	return seed, !stop
 }
 
-func (h *seedHunt) count(r sim.Result, err error) {
+func (h *seedSearch) count(r sim.Result, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.played++
+	h.runCount++
 	h.events += r.Events
 	if err != nil {
 		h.failure = err
 	}
 }
 
-// report shrinks a run that violates a rule and writes it to a file.
-func (h *seedHunt) report(seed uint64, settings sim.Settings, result sim.Result) {
+// report shrinks a run that violates an invariant, and writes its settings to a replay file.
+func (h *seedSearch) report(seed uint64, settings sim.Settings, result sim.Result) {
 	shrunk, runs := sim.Shrink(settings, shrinkRuns)
 	path := fmt.Sprintf("%s/broken-%d.json", h.options.dir, seed)
 	text, err := json.MarshalIndent(shrunk, "", "  ")
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -16,25 +16,25 @@
 
 // Bounds of a run.
 const (
-	maxLoadRate     = 20000 // calls a second
+	maxLoadRate     = 20000 // calls per second
 	minLoadDuration = time.Second
 	maxLoadDuration = time.Hour
 	maxOrigins      = 1000
 )
 
-// checkLoopback fails for an address that is not on this machine: nothing else is ever called.
+// checkLoopback rejects every address that is not a loopback address: the command must not send load to other machines.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("%s: only loopback addresses are called", addr)
+		return fmt.Errorf("address %s is not a loopback address", addr)
 	}
 	return nil
 }
 
-// loadOptions are those of the load command.
+// loadOptions are the flags of the load command.
 type loadOptions struct {
 	plan     load.Plan
 	duration time.Duration
@@ -44,7 +44,7 @@
 func (o *loadOptions) check() error {
 	p := &o.plan
 	if p.SRU == "" {
-		return fmt.Errorf("--sru is needed")
+		return fmt.Errorf("--sru is required")
 	}
 	for _, addr := range []string{p.SRU, p.Z3950} {
 		if addr == "" {
@@ -57,7 +57,8 @@
 	rateOK := p.Rate > 0 && p.Rate <= maxLoadRate // false for NaN, too
 	durationOK := o.duration >= minLoadDuration && o.duration <= maxLoadDuration
 	if !rateOK || !durationOK || p.Timeout <= 0 || p.Origins < 1 || p.Origins > maxOrigins {
-		return fmt.Errorf("--rate over 0 to %d, --for %v to %v, --timeout over 0, --origins 1 to %d",
+		return fmt.Errorf("--rate must be over 0 and at most %d, --for from %v to %v, --timeout over 0, "+
+			"--origins from 1 to %d",
 			maxLoadRate, minLoadDuration, maxLoadDuration, maxOrigins)
 	}
 	return nil
@@ -67,7 +68,7 @@
 	var options loadOptions
 	c := &cobra.Command{
 		Use:     "load",
-		Short:   "Call a frontend on loopback open-loop, and print outcomes and latencies from the intended times",
+		Short:   "Send open-loop load to a frontend on loopback, and print outcomes and latencies from intended times",
 		Example: "  testbed load --sru 127.0.0.1:8210 --z3950 127.0.0.1:2100 --rate 50 --for 30s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -79,17 +80,18 @@
 		},
 	}
 	c.Flags().StringVar(&options.plan.SRU, "sru", "", "address of an SRU frontend")
-	c.Flags().StringVar(&options.plan.Z3950, "z3950", "", "address of a Z39.50 frontend; empty: it is not called")
-	c.Flags().Float64Var(&options.plan.Rate, "rate", 20, "calls a second, Poisson")
-	c.Flags().DurationVar(&options.duration, "for", 10*time.Second, "how long")
-	c.Flags().DurationVar(&options.plan.Timeout, "timeout", 10*time.Second, "of a call")
-	c.Flags().IntVar(&options.plan.Origins, "origins", 16, "Z39.50 associations")
-	c.Flags().Uint64Var(&options.plan.Seed, "seed", 1, "of all random samples")
-	c.Flags().BoolVar(&options.asJSON, "json", false, "for scripts")
+	c.Flags().StringVar(&options.plan.Z3950, "z3950", "", "address of a Z39.50 frontend; empty: all calls use SRU")
+	c.Flags().Float64Var(&options.plan.Rate, "rate", 20, "calls per second, with Poisson arrivals")
+	c.Flags().DurationVar(&options.duration, "for", 10*time.Second, "duration of the run")
+	c.Flags().DurationVar(&options.plan.Timeout, "timeout", 10*time.Second, "timeout of a call")
+	c.Flags().IntVar(&options.plan.Origins, "origins", 16, "number of Z39.50 associations")
+	c.Flags().Uint64Var(&options.plan.Seed, "seed", 1, "seed of the random number generators")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print JSON")
 	return c
 }
 
-// runLoad calls until the time is over or the process is interrupted; progress takes a line a second.
+// runLoad sends load until the duration has elapsed or the process is interrupted. It writes the report to out, and one
+// line per second to progress.
 func runLoad(out, progress *output, options loadOptions) error {
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
@@ -99,12 +101,12 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	end := time.After(options.duration)
-	for over := false; !over; {
+	for stopped := false; !stopped; {
 		select {
 		case <-end:
-			over = true
+			stopped = true
 		case <-interrupted:
-			over = true
+			stopped = true
 		case <-tick.C:
 			counts := load.CountOutcomes(calls.Calls(begin, time.Now()))
 			p99 := calls.Quantile(99).Round(100 * time.Microsecond)
@@ -116,7 +118,7 @@
 	return out.err
 }
 
-// loadReport is the report for scripts.
+// loadReport is the report that --json prints.
 type loadReport struct {
 	Calls        int     `json:"asked"`
 	Disconnected int     `json:"broken"`
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Testbed runs rooktrestle against stand-ins on loopback and under virtual time: a demonstration without any
-// configuration, load, experiments, and the simulator.
+// Testbed runs rooktrestle against stand-in replicas on loopback, and simulates fleets in virtual time. It has a
+// demonstration that needs no configuration, a load generator, experiments, and the simulator.
 package main
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/spf13/cobra"
 )
 
-// errClaimsFailed means that the command ran and something that it claims did not hold: exit status 1. Any other
-// error is exit status 2.
-var errClaimsFailed = errors.New("not all claims hold")
+// errAssertionsFailed means that the command ran, and that an assertion or invariant that it checks was violated: exit
+// status 1. Any other error is exit status 2.
+var errAssertionsFailed = errors.New("assertions failed")
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "testbed:", err) // there is nowhere else to report to
-		if errors.Is(err, errClaimsFailed) {
+		if errors.Is(err, errAssertionsFailed) {
 			os.Exit(1)
 		}
 		os.Exit(2)
--- a/cmd/testbed/output.go
+++ b/cmd/testbed/output.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 )
 
-// output writes a command's report and keeps the first error, which the command returns at its end: the report of a
-// long run need not check each line.
+// output writes a command's report and retains the first write error, so that a command checks for errors once, at its
+// end, instead of after each line.
 type output struct {
 	writer io.Writer
 	err    error
@@ -38,7 +38,7 @@
 	o.printf("%s\n", text)
 }
 
-// table writes rows of cells that rows separates by tabs, aligned to the right.
+// table writes a right-aligned table; rows writes its rows, with a tab after each cell.
 func (o *output) table(rows func(t *output)) {
 	if o.err != nil {
 		return
--- a/cmd/testbed/resharding.go
+++ b/cmd/testbed/resharding.go
@@ -11,19 +11,19 @@
 	"rooktrestle/internal/testbed/resharding"
 )
 
-// reshardingOptions are those of one experiment.
+// reshardingOptions are the flags of the resharding command.
 type reshardingOptions struct {
 	duration time.Duration // of each run
-	interval time.Duration // from the beginning of one plan to the next
-	mapDelay time.Duration // by which the second aggregator gets shard maps late
-	rate     float64       // calls a second
+	interval time.Duration // from the start of one plan to the start of the next
+	mapDelay time.Duration // of shard maps to the second aggregator
+	rate     float64       // calls per second
 	seed     uint64
 	replicas int
 	shards   int // at the start
 	asJSON   bool
 }
 
-// maxAnsweredLoss is by how much the answered fraction may be smaller while shards change.
+// maxAnsweredLoss is the maximum decrease of the answered fraction during resharding.
 const maxAnsweredLoss = 0.01
 
 func (o *reshardingOptions) check() error {
@@ -31,7 +31,8 @@
 	rateOK := o.rate > 0 && o.rate <= 10000 // false for NaN, too
 	sizesOK := o.replicas >= 3 && o.replicas <= 64 && o.shards >= 1 && o.shards <= 40
 	if !timesOK || !rateOK || !sizesOK {
-		return fmt.Errorf("--for at least 1s, --every at least 10ms, --rate over 0, --nodes 3 to 64, --blocks 1 to 40")
+		return fmt.Errorf("--for must be at least 1s, --every at least 10ms, --rate over 0 and at most 10000, " +
+			"--nodes from 3 to 64, --blocks from 1 to 40")
 	}
 	return nil
 }
@@ -41,8 +42,8 @@
 	c := &cobra.Command{
 		Use:     "resharding",
 		Aliases: []string{"reshape"},
-		Short: "Split, merge and move shards under load, and compare every answer with the archive " +
-			"and with the same load without that",
+		Short: "Split, merge and move shards under load, compare every answer with the archive, " +
+			"and compare the run with the same load without resharding",
 		Example: "  testbed resharding --for 60s --every 2s --rate 60",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -52,19 +53,19 @@
 			return runResharding(&output{writer: cmd.OutOrStdout()}, options)
 		},
 	}
-	c.Flags().DurationVar(&options.duration, "for", 20*time.Second, "how long each of the two runs lasts")
-	c.Flags().DurationVar(&options.interval, "every", 2*time.Second, "from the beginning of one plan to the next")
+	c.Flags().DurationVar(&options.duration, "for", 20*time.Second, "duration of each of the two runs")
+	c.Flags().DurationVar(&options.interval, "every", 2*time.Second, "time between the starts of two plans")
 	c.Flags().DurationVar(&options.mapDelay, "late", 300*time.Millisecond,
-		"by which the second aggregator gets shard maps late")
-	c.Flags().Float64Var(&options.rate, "rate", 60, "calls a second")
-	c.Flags().Uint64Var(&options.seed, "seed", 1, "of all random samples")
-	c.Flags().IntVar(&options.replicas, "nodes", 6, "stand-in replicas, every second one of Z39.50")
-	c.Flags().IntVar(&options.shards, "blocks", 6, "shards at the start")
-	c.Flags().BoolVar(&options.asJSON, "json", false, "for scripts")
+		"delay of shard maps to the second aggregator")
+	c.Flags().Float64Var(&options.rate, "rate", 60, "calls per second")
+	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the random number generators")
+	c.Flags().IntVar(&options.replicas, "nodes", 6, "number of stand-in replicas; every second one uses Z39.50")
+	c.Flags().IntVar(&options.shards, "blocks", 6, "number of shards at the start")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print JSON")
 	return c
 }
 
-// reshardingRun is what one run came to.
+// reshardingRun is the result of one run.
 type reshardingRun struct {
 	Calls        int `json:"Asked"`
 	Complete     int `json:"Whole"`
@@ -80,7 +81,7 @@
 	Duplicates []string       `json:"Twice"`    // corrections that ran more than once
 	Plans      map[string]int `json:"Reshapes"` // carried out, by kind
 	Epoch      uint64         `json:"Epoch"`
-	Frontends  []string       `json:"Front"` // their counters
+	Frontends  []string       `json:"Front"` // counters of each frontend
 }
 
 // Names of the two runs.
@@ -89,11 +90,11 @@
 	runResharded = "reshaped"
 )
 
-// runResharding runs the load twice, without and with resharding, and compares.
+// runResharding runs the load twice, without and with resharding, and compares the results.
 func runResharding(out *output, options reshardingOptions) error {
 	runs := map[string]reshardingRun{}
 	for _, name := range []string{runUnchanged, runResharded} {
-		r, err := playResharding(options, name == runResharded)
+		r, err := measureRun(options, name == runResharded)
 		if err != nil {
 			return err
 		}
@@ -112,17 +113,17 @@
 
 // compareReshardingRuns fails with errClaimsFailed if a run has wrong answers, or if resharding costs answers.
 func compareReshardingRuns(unchanged, resharded reshardingRun) error {
-	if unchanged.isWrong() || resharded.isWrong() {
-		return fmt.Errorf("%w: wrong answers, or corrections that ran twice", errClaimsFailed)
+	if unchanged.hasViolations() || resharded.hasViolations() {
+		return fmt.Errorf("%w: wrong answers, or corrections that ran twice", errAssertionsFailed)
 	}
 	if resharded.Answered < unchanged.Answered-maxAnsweredLoss {
 		return fmt.Errorf("%w: %.2f%% answered while shards change, %.2f%% without",
-			errClaimsFailed, 100*resharded.Answered, 100*unchanged.Answered)
+			errAssertionsFailed, 100*resharded.Answered, 100*unchanged.Answered)
 	}
 	return nil
 }
 
-func (r *reshardingRun) isWrong() bool { return len(r.Violations)+len(r.Duplicates) > 0 }
+func (r *reshardingRun) hasViolations() bool { return len(r.Violations)+len(r.Duplicates) > 0 }
 
 func printReshardingRuns(out *output, runs map[string]reshardingRun) {
 	out.table(func(t *output) {
@@ -148,8 +149,8 @@
 	}
 }
 
-// playResharding runs the load once, with random plans or without.
-func playResharding(options reshardingOptions, reshard bool) (r reshardingRun, err error) {
+// measureRun runs the load once; reshard says whether random plans are carried out meanwhile.
+func measureRun(options reshardingOptions, reshard bool) (r reshardingRun, err error) {
 	a, err := resharding.Start(resharding.Options{
 		Seed:                 options.seed,
 		ReplicaCount:         options.replicas,
@@ -184,14 +185,14 @@
 	time.Sleep(options.duration)
 	close(stop)
 	if err = <-ended; err != nil {
-		err = fmt.Errorf("carry plans out: %w", err)
+		err = fmt.Errorf("carry out the plans: %w", err)
 	}
 	endLoad()
 	r.collect(a, calls)
 	return r, err
 }
 
-// collect reads the results of a run that has ended.
+// collect stores the results of a completed run.
 func (r *reshardingRun) collect(archive *resharding.Archive, calls *resharding.Report) {
 	counts := calls.Count()
 	r.Calls = calls.Calls
