--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -21,9 +21,11 @@
 	return mean.Latency - mean.ServiceTime + math.Pow(queue, rankExponent)*mean.ServiceTime/capacity
 }
 
-// adjustLosers moves the averages of the other candidates half way toward the winner's. Servers that are not
-// candidates stay unchanged: an unresponsive server must not come to look like a responsive one.
-func (b *Balancer) adjustLosers(winner *server, candidates []*server) {
+// pullBack moves the averages of the other candidates half way toward the winner's. A server that is not
+// chosen gives no answers that would update its averages, so without the pull-back it could be avoided long
+// after it has become fast again. Servers that are not candidates stay unchanged: an unresponsive server must
+// not come to look like a responsive one.
+func (b *Balancer) pullBack(winner *server, candidates []*server) {
 	mean := b.fleet.AveragesOf(&winner.Server, b.now)
 	for _, server := range candidates {
 		if server != winner && server.Measured {
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -43,7 +43,7 @@
 	unhealthyFrom := cmp.Or(len(healthy), len(pool)) // if none is healthy, all are ranked alike
 	winner := b.lowestRank(part, pool, unhealthyFrom)
 	if part.attempts == 0 {
-		b.adjustLosers(winner, pool[:unhealthyFrom])
+		b.pullBack(winner, pool[:unhealthyFrom])
 	}
 	return winner
 }
