--- a/cmd/rooktrestle/blocks_test.go
+++ b/cmd/rooktrestle/blocks_test.go
@@ -45,14 +45,14 @@
 	want(0, "blocks 4 to 5 take its place|wait 18s", "plan", "split", "2", "k@2000", "--map", now)
 	want(0, "block 4 takes their place", "plan", "merge", "1", "2", "--map", now)
 	want(1, "other holders", "plan", "merge", "2", "3", "--map", now)
-	want(1, "does not cut", "plan", "split", "2", "z@2000", "--map", now)
+	want(1, `key "z@2000" does not lie inside the range [g@2000, p@2000)`, "plan", "split", "2", "z@2000", "--map", now)
 	bad := filepath.Join(dir, "bad.json")
 	writeFile(t, bad, strings.Replace(mapText, `"to":"g@2000"`, `"to":"f@2000"`, 1))
 	want(2, `keys from "f@2000" to "g@2000" are in no block`, "check", bad)
 	want(2, "not a map", "show", os.Args[0])
 	forked := filepath.Join(dir, "forked.json")
 	writeFile(t, forked, strings.Replace(mapText, `"weight":3`, `"weight":4`, 1))
-	want(1, "the same epoch with other blocks|weight 3 to 4", "diff", now, forked)
+	want(1, "the map differs from another map of the same epoch|weight 3 to 4", "diff", now, forked)
 }
 
 // On SIGHUP the map's file is read at once, however rarely it is looked at; a bad one changes nothing.
--- a/internal/control/shardmap/change.go
+++ b/internal/control/shardmap/change.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if next.activeByFrom.Len() == 0 {
-		return nil, errors.New("no block is active")
+		return nil, errors.New("the map has no active block, want at least one")
 	}
 	if err := next.checkChangedRanges(m, put, remove); err != nil {
 		return nil, err
--- a/internal/control/shardmap/file.go
+++ b/internal/control/shardmap/file.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 )
 
@@ -23,15 +22,15 @@
 // Parse parses the JSON text of a map and validates it as New does.
 func Parse(text []byte) (*Map, error) {
 	if len(text) > maxFileSize {
-		return nil, fmt.Errorf("a map over %d bytes", maxFileSize)
+		return nil, fmt.Errorf("the map is %d bytes long, more than the allowed %d", len(text), maxFileSize)
 	}
 	var file mapFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, fmt.Errorf("not a map: %w", err)
+		return nil, fmt.Errorf("not a map of blocks in JSON form: %w", err)
 	}
-	for _, s := range file.Shards {
+	for i, s := range file.Shards {
 		if s == nil {
-			return nil, errors.New("a block that is null")
+			return nil, fmt.Errorf("blocks[%d] is null, want an object", i)
 		}
 	}
 	return New(file.Archive, file.Epoch, file.NextID, file.Shards)
--- a/internal/control/shardmap/key.go
+++ b/internal/control/shardmap/key.go
@@ -21,8 +21,8 @@
 func MakeKey(programme string, year int) (Key, error) {
 	validProgramme := programme != "" && !strings.ContainsAny(programme, "@:\x00 \t\r\n")
 	if !validProgramme || year < 0 || year > maxYear {
-		return "", fmt.Errorf("key %q %d: a programme without @, : and spaces, and a year of four digits",
-			programme, year)
+		return "", fmt.Errorf("key of programme %q and year %d: the programme must not be empty "+
+			"or contain @, :, NUL or white space, and the year must be from 0 to %d", programme, year, maxYear)
 	}
 	return Key(fmt.Sprintf("%s@%0*d", programme, yearDigits, year)), nil
 }
@@ -36,7 +36,7 @@
 	if number, err := strconv.Atoi(year); ok && err == nil && len(year) == yearDigits {
 		return MakeKey(programme, number)
 	}
-	return "", fmt.Errorf("key %q: not programme@year", text)
+	return "", fmt.Errorf("key %q is not of the form programme@year with a year of %d digits", text, yearDigits)
 }
 
 // KeyOf returns the key in a record's identifier, "programme@year:number". An identifier of any other form is itself
--- a/internal/control/shardmap/map.go
+++ b/internal/control/shardmap/map.go
@@ -60,7 +60,8 @@
 // whether the map may follow another.
 func New(archive string, epoch Epoch, next ID, shards []*Shard) (*Map, error) {
 	if archive == "" || epoch == 0 {
-		return nil, errors.New("a map needs an archive's name and an epoch over 0")
+		return nil, fmt.Errorf("map of archive %q, epoch %d: the archive's name must not be empty, "+
+			"and the epoch must be at least 1", archive, epoch)
 	}
 	byID := slices.Clone(shards)
 	slices.SortFunc(byID, func(a, b *Shard) int { return cmp.Compare(a.ID, b.ID) })
@@ -71,7 +72,7 @@
 			return nil, err
 		}
 		if i > 0 && byID[i-1].ID == s.ID {
-			return nil, fmt.Errorf("block %d stands twice", s.ID)
+			return nil, fmt.Errorf("block %d is listed more than once; each id must be unique", s.ID)
 		}
 		ids = append(ids, s.ID)
 		if s.Active() {
@@ -96,7 +97,7 @@
 // checkCoverage checks that shards, in the order of their ranges, contain every key exactly once.
 func checkCoverage(active []*Shard) error {
 	if len(active) == 0 {
-		return errors.New("no block is active")
+		return errors.New("the map has no active block, want at least one")
 	}
 	end := Key("")
 	for i, s := range active {
@@ -116,7 +117,20 @@
 	return nil
 }
 
-func overlapError(a, b *Shard) error  { return fmt.Errorf("blocks %d and %d overlap", a.ID, b.ID) }
-func gapError(from, to Key) error     { return fmt.Errorf("keys from %q to %q are in no block", from, to) }
-func openEndError(from Key) error     { return fmt.Errorf("keys from %q on are in no block", from) }
-func openBeginningError(to Key) error { return fmt.Errorf("keys before %q are in no block", to) }
+func overlapError(a, b *Shard) error {
+	return fmt.Errorf("block %d %s and block %d %s overlap; each key must be in exactly one active block",
+		a.ID, a.Range(), b.ID, b.Range())
+}
+
+func gapError(from, to Key) error {
+	return fmt.Errorf("keys from %q to %q are in no block; each key must be in exactly one active block",
+		from, to)
+}
+
+func openEndError(from Key) error {
+	return fmt.Errorf("keys from %q on are in no block; the last active block must have no end", from)
+}
+
+func openBeginningError(to Key) error {
+	return fmt.Errorf("keys before %q are in no block; the first active block must begin at the empty key", to)
+}
--- a/internal/control/shardmap/plan.go
+++ b/internal/control/shardmap/plan.go
@@ -33,7 +33,8 @@
 	for _, planned := range s.Put {
 		current := published.Shard(planned.ID)
 		if published.idReassigned(planned, current) {
-			return nil, fmt.Errorf("block %d: the id has been given since the plan was made", planned.ID)
+			return nil, fmt.Errorf("block %d: the id was assigned to another block after the plan was made; "+
+				"make a new plan", planned.ID)
 		}
 		put = append(put, withServingEpochs(planned, current, published.Epoch+1))
 	}
--- a/internal/control/shardmap/plan_test.go
+++ b/internal/control/shardmap/plan_test.go
@@ -107,7 +107,7 @@
 	step := fmt.Sprintf("%s, step %d", r.plan.Description, r.done)
 	next, err := r.plan.Steps[r.done].Apply(run.m)
 	if err != nil {
-		if !strings.Contains(err.Error(), "given since") {
+		if !strings.Contains(err.Error(), "assigned to another block after the plan was made") {
 			run.t.Fatalf("%s: %v", step, err)
 		}
 		run.running = slices.Delete(run.running, i, i+1)
@@ -148,18 +148,18 @@
 	m := threeShards(t)
 	busy := changedMap(t, m, 1, func(s map[ID]*Shard) { s[2].State = Splitting })
 	for reason, err := range map[string]error{
-		"not there":    planError(PlanMigration(m, 9, []string{"a"}, Timing{})),
-		"no holder":    planError(PlanMigration(m, 2, nil, Timing{})),
-		"twice":        planError(PlanMigration(m, 2, []string{"c", "c"}, Timing{})),
-		"already":      planError(PlanMigration(m, 2, []string{"b", "a"}, Timing{})),
-		"under way":    planError(PlanMigration(busy, 2, []string{"c"}, Timing{})),
-		"no key":       planError(PlanSplit(m, 2, nil, Timing{})),
-		"does not":     planError(PlanSplit(m, 2, []Key{"z@2000"}, Timing{})),
-		"order":        planError(PlanSplit(m, 2, []Key{"k@2000", "h@2000"}, Timing{})),
-		"not next to":  planError(PlanMerge(threeShards(t), []ID{1, 3}, Timing{})),
-		"other hold":   planError(PlanMerge(m, []ID{2, 3}, Timing{})),
-		"stands twice": planError(PlanMerge(m, []ID{2, 2}, Timing{})),
-		"two blocks":   planError(PlanMerge(m, []ID{2}, Timing{})),
+		"does not exist":                planError(PlanMigration(m, 9, []string{"a"}, Timing{})),
+		"no holder":                     planError(PlanMigration(m, 2, nil, Timing{})),
+		"empty or named more than once": planError(PlanMigration(m, 2, []string{"c", "c"}, Timing{})),
+		"already":                       planError(PlanMigration(m, 2, []string{"b", "a"}, Timing{})),
+		"under way":                     planError(PlanMigration(busy, 2, []string{"c"}, Timing{})),
+		"no key":                        planError(PlanSplit(m, 2, nil, Timing{})),
+		"does not lie inside the range": planError(PlanSplit(m, 2, []Key{"z@2000"}, Timing{})),
+		"order":                         planError(PlanSplit(m, 2, []Key{"k@2000", "h@2000"}, Timing{})),
+		"not adjacent":                  planError(PlanMerge(threeShards(t), []ID{1, 3}, Timing{})),
+		"other hold":                    planError(PlanMerge(m, []ID{2, 3}, Timing{})),
+		"is named more than once":       planError(PlanMerge(m, []ID{2, 2}, Timing{})),
+		"two blocks":                    planError(PlanMerge(m, []ID{2}, Timing{})),
 	} {
 		if err == nil || !strings.Contains(err.Error(), reason) {
 			t.Errorf("want %q, got %v", reason, err)
--- a/internal/control/shardmap/planning.go
+++ b/internal/control/shardmap/planning.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -27,7 +26,7 @@
 		return nil, err
 	}
 	if len(joining) == 0 && len(servers) == len(shard.Replicas) {
-		return nil, fmt.Errorf("block %d: it is held by these already", id)
+		return nil, fmt.Errorf("block %d is already held by exactly %q", id, servers)
 	}
 	names := serverNames(joining)
 	copying := *shard
@@ -90,11 +89,11 @@
 // joiningReplicas returns a joining replica for each of these servers that does not serve the shard yet.
 func joiningReplicas(shard *Shard, servers []string) (joining []Replica, err error) {
 	if len(servers) == 0 {
-		return nil, fmt.Errorf("block %d: it would have no holder", shard.ID)
+		return nil, fmt.Errorf("block %d: no holder to move to is named, want at least one", shard.ID)
 	}
 	for i, server := range servers {
 		if server == "" || slices.Contains(servers[:i], server) {
-			return nil, fmt.Errorf("block %d: holder %q has no name, or stands twice", shard.ID, server)
+			return nil, fmt.Errorf("block %d: holder %q is empty or named more than once", shard.ID, server)
 		}
 		if !shard.ServedBy(server) {
 			joining = append(joining, Replica{Server: server, Joining: true})
@@ -151,13 +150,14 @@
 // splitShard returns the shards into which boundaries split a shard, with ids from next on.
 func splitShard(shard *Shard, boundaries []Key, next ID) (pieces []*Shard, err error) {
 	if len(boundaries) == 0 {
-		return nil, fmt.Errorf("block %d: no key to cut at", shard.ID)
+		return nil, fmt.Errorf("block %d: no key to split at is named, want at least one", shard.ID)
 	}
 	weight := shard.weight() / float64(len(boundaries)+1)
 	from := shard.From
 	for _, key := range boundaries {
 		if key == "" || key <= from || !shard.Contains(key) {
-			return nil, fmt.Errorf("block %d: %q does not cut %s, or is out of order", shard.ID, key, shard.Range())
+			return nil, fmt.Errorf("block %d: key %q does not lie inside the range %s and after %q; "+
+				"keys to split at must be in ascending order", shard.ID, key, shard.Range(), from)
 		}
 		pieces = append(pieces, &Shard{From: from, To: key})
 		from = key
@@ -228,7 +228,7 @@
 // mergeableShards returns the shards with these ids in the order of their ranges, or an error if they cannot be merged.
 func mergeableShards(current *Map, ids []ID) (shards []*Shard, err error) {
 	if len(ids) < 2 {
-		return nil, errors.New("a merge takes two blocks or more")
+		return nil, fmt.Errorf("blocks %v: a merge needs at least two blocks", ids)
 	}
 	for i, id := range ids {
 		s, err := servingShard(current, id)
@@ -236,17 +236,19 @@
 			return nil, err
 		}
 		if slices.Contains(ids[:i], id) {
-			return nil, fmt.Errorf("block %d stands twice", id)
+			return nil, fmt.Errorf("block %d is named more than once", id)
 		}
 		shards = append(shards, s)
 	}
 	slices.SortFunc(shards, func(a, b *Shard) int { return cmp.Compare(a.From, b.From) })
 	for i, s := range shards {
 		if i > 0 && shards[i-1].To != s.From {
-			return nil, fmt.Errorf("blocks %d and %d are not next to each other", shards[i-1].ID, s.ID)
+			return nil, fmt.Errorf("block %d %s and block %d %s are not adjacent; only adjacent blocks can be merged",
+				shards[i-1].ID, shards[i-1].Range(), s.ID, s.Range())
 		}
 		if !sameReplicaServers(shards[0], s) {
-			return nil, fmt.Errorf("blocks %d and %d have other holders: move one first", shards[0].ID, s.ID)
+			return nil, fmt.Errorf("block %d has other holders than block %d (%s; %s): move one of them first",
+				s.ID, shards[0].ID, serverNames(s.Replicas), serverNames(shards[0].Replicas))
 		}
 	}
 	return shards, nil
@@ -257,9 +259,10 @@
 	s := current.Shard(id)
 	switch {
 	case s == nil:
-		return nil, fmt.Errorf("block %d is not there", id)
+		return nil, fmt.Errorf("block %d does not exist in epoch %d", id, current.Epoch)
 	case s.State != Serving:
-		return nil, fmt.Errorf("block %d is %s: another reshape is under way", id, s.State)
+		return nil, fmt.Errorf("block %d is %s: another change of it is under way; it must be %s first",
+			id, s.State, Serving)
 	}
 	return s, nil
 }
--- a/internal/control/shardmap/shard.go
+++ b/internal/control/shardmap/shard.go
@@ -1,7 +1,6 @@
 package shardmap
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 )
@@ -111,13 +110,14 @@
 func (s *Shard) validate(epoch Epoch, next ID) error {
 	switch {
 	case s.ID == 0 || s.ID >= next:
-		return fmt.Errorf("block %d: ids are over 0 and under next_id %d", s.ID, next)
+		return fmt.Errorf("block %d: the id must be at least 1 and less than next_id %d", s.ID, next)
 	case s.To != "" && s.From >= s.To:
-		return fmt.Errorf("block %d: the range %s is empty", s.ID, s.Range())
+		return fmt.Errorf("block %d: the range %s is empty; its end must be after its beginning", s.ID, s.Range())
 	case !slices.Contains([]State{Serving, Migrating, Splitting, Merging, Retiring}, s.State):
-		return fmt.Errorf("block %d: state %q", s.ID, s.State)
+		return fmt.Errorf("block %d: unknown state %q, want %s, %s, %s, %s or %s",
+			s.ID, s.State, Serving, Migrating, Splitting, Merging, Retiring)
 	case !(s.Weight >= 0 && s.Weight <= maxWeight):
-		return fmt.Errorf("block %d: weight %v", s.ID, s.Weight)
+		return fmt.Errorf("block %d: the weight %v is not from 0 to %v", s.ID, s.Weight, maxWeight)
 	}
 	serving := 0
 	for i := range s.Replicas {
@@ -129,7 +129,7 @@
 		}
 	}
 	if serving == 0 {
-		return fmt.Errorf("block %d has no holder that serves", s.ID)
+		return fmt.Errorf("block %d has no holder that is serving, want at least one", s.ID)
 	}
 	return nil
 }
@@ -139,13 +139,15 @@
 	r := s.Replicas[i]
 	switch {
 	case r.Server == "":
-		return errors.New("a holder without a name")
+		return fmt.Errorf("holders[%d] has no server name", i)
 	case slices.ContainsFunc(s.Replicas[:i], func(other Replica) bool { return other.Server == r.Server }):
-		return fmt.Errorf("holder %s stands twice", r.Server)
+		return fmt.Errorf("holder %q is listed more than once", r.Server)
 	case r.Joining && s.State != Migrating:
-		return fmt.Errorf("%s joins, and the block is %s, not moving", r.Server, s.State)
+		return fmt.Errorf("holder %q is joining while the block is %s; this is allowed only while it is %s",
+			r.Server, s.State, Migrating)
 	case r.ServingSince > epoch:
-		return fmt.Errorf("%s serves since epoch %d, which is to come", r.Server, r.ServingSince)
+		return fmt.Errorf("holder %q serves since epoch %d, which is later than the map's epoch %d",
+			r.Server, r.ServingSince, epoch)
 	}
 	return nil
 }
--- a/internal/control/shardmap/shardmap_test.go
+++ b/internal/control/shardmap/shardmap_test.go
@@ -65,7 +65,7 @@
 	},
 	"an id twice": {
 		invalidate: func(s []*Shard) { s[1].ID = 1 },
-		want:       "twice",
+		want:       "block 1 is listed more than once",
 	},
 	"an id from next_id on": {
 		invalidate: func(s []*Shard) { s[1].ID = 9 },
@@ -73,7 +73,7 @@
 	},
 	"id 0": {
 		invalidate: func(s []*Shard) { s[1].ID = 0 },
-		want:       "over 0",
+		want:       "at least 1",
 	},
 	"no replica": {
 		invalidate: func(s []*Shard) { s[1].Replicas = nil },
@@ -88,19 +88,19 @@
 	},
 	"a joining replica in a shard that serves": {
 		invalidate: func(s []*Shard) { s[1].Replicas = []Replica{{Server: "a"}, {Server: "b", Joining: true}} },
-		want:       "not moving",
+		want:       "only while it is moving",
 	},
 	"a server twice": {
 		invalidate: func(s []*Shard) { s[1].Replicas = replicasOn("a", "a") },
-		want:       "twice",
+		want:       `holder "a" is listed more than once`,
 	},
 	"a server without a name": {
 		invalidate: func(s []*Shard) { s[1].Replicas = replicasOn("") },
-		want:       "without a name",
+		want:       "no server name",
 	},
 	"a replica that serves since a later epoch": {
 		invalidate: func(s []*Shard) { s[1].Replicas = []Replica{{Server: "a", ServingSince: 9}} },
-		want:       "to come",
+		want:       "later than the map's epoch",
 	},
 	"an unknown state": {
 		invalidate: func(s []*Shard) { s[1].State = "asleep" },
@@ -115,7 +115,7 @@
 			s[0].State = Retiring
 			s[1].State = Retiring
 		},
-		want: "no block is active",
+		want: "no active block",
 	},
 	"an empty range": {
 		invalidate: func(s []*Shard) { s[2].To = "a@2000" },
--- a/internal/control/shardmap/succession.go
+++ b/internal/control/shardmap/succession.go
@@ -11,11 +11,11 @@
 // Errors of ValidateSuccession that callers distinguish.
 var (
 	// ErrStaleEpoch means that the map is not newer than the current one.
-	ErrStaleEpoch = errors.New("an older epoch, or the same again")
+	ErrStaleEpoch = errors.New("the map has the same or an older epoch")
 	// ErrOtherArchive means that the map is of another archive.
-	ErrOtherArchive = errors.New("a map of another archive")
+	ErrOtherArchive = errors.New("the map is of another archive")
 	// ErrForked means that two maps of one epoch differ: they cannot come from one controller.
-	ErrForked = errors.New("the same epoch with other blocks")
+	ErrForked = errors.New("the map differs from another map of the same epoch")
 )
 
 // ValidateSuccession returns an error unless the map may follow an older one. If it is the next epoch, every change
@@ -24,13 +24,13 @@
 func (m *Map) ValidateSuccession(old *Map) error {
 	switch {
 	case m.Archive != old.Archive:
-		return fmt.Errorf("%w: %q after %q", ErrOtherArchive, m.Archive, old.Archive)
+		return fmt.Errorf("%w: %q, want %q", ErrOtherArchive, m.Archive, old.Archive)
 	case m.Epoch == old.Epoch && !m.sameShards(old):
-		return fmt.Errorf("%w: %d", ErrForked, m.Epoch)
+		return fmt.Errorf("%w: %d; a changed map needs a new epoch", ErrForked, m.Epoch)
 	case m.Epoch <= old.Epoch:
-		return fmt.Errorf("%w: %d after %d", ErrStaleEpoch, m.Epoch, old.Epoch)
+		return fmt.Errorf("%w: %d, want at least %d", ErrStaleEpoch, m.Epoch, old.Epoch+1)
 	case m.NextID < old.NextID:
-		return fmt.Errorf("next_id goes back from %d to %d", old.NextID, m.NextID)
+		return fmt.Errorf("next_id decreases from %d to %d; it must not, so that no id is reused", old.NextID, m.NextID)
 	}
 	validate := m.validateNextEpoch
 	if m.Epoch > old.Epoch+1 {
@@ -49,7 +49,8 @@
 func (m *Map) validateNextEpoch(old *Map, before, after *Shard) error {
 	switch {
 	case after == nil && before.Active():
-		return fmt.Errorf("block %d: gone while it is %s; it has to retire first", before.ID, before.State)
+		return fmt.Errorf("block %d is removed while it is %s; only a block that is %s may be removed",
+			before.ID, before.State, Retiring)
 	case after == nil:
 		return nil
 	case before == nil && after.ID < old.NextID:
@@ -75,15 +76,18 @@
 	case before.From != after.From || before.To != after.To:
 		return rangeChangedError(before, after)
 	case before.State == Retiring && after.State != Retiring:
-		return fmt.Errorf("block %d: from retiring to %s", after.ID, after.State)
+		return fmt.Errorf("block %d: the state changes from %s to %s; it must not change any more",
+			after.ID, before.State, after.State)
 	}
 	return nil
 }
 
-func idReusedError(s *Shard) error { return fmt.Errorf("block %d: the id was given before", s.ID) }
+func idReusedError(s *Shard) error {
+	return fmt.Errorf("block %d: the id was assigned before; a new block needs an unused id", s.ID)
+}
 
 func rangeChangedError(before, after *Shard) error {
-	return fmt.Errorf("block %d: its range goes from %s to %s; that takes a new id",
+	return fmt.Errorf("block %d: the range changes from %s to %s; a new range requires a new id",
 		after.ID, before.Range(), after.Range())
 }
 
@@ -112,10 +116,12 @@
 // checkTransition checks the change of one shard from one epoch to the next.
 func checkTransition(before, after *Shard, epoch Epoch) error {
 	if !slices.Contains(allowedTransitions[before.State], after.State) {
-		return fmt.Errorf("block %d: from %s to %s", after.ID, before.State, after.State)
+		return fmt.Errorf("block %d: the state changes from %s to %s, want one of %s",
+			after.ID, before.State, after.State, allowedTransitions[before.State])
 	}
 	if !slices.Equal(before.Parents, after.Parents) {
-		return fmt.Errorf("block %d: its parents change", after.ID)
+		return fmt.Errorf("block %d: the parents change from %v to %v; they must stay the same",
+			after.ID, before.Parents, after.Parents)
 	}
 	for _, r := range after.Replicas {
 		if err := checkReplicaTransition(before, r, epoch); err != nil {
@@ -125,12 +131,13 @@
 	serving := after.ServingReplicas()
 	mayLeave := before.State == Migrating || after.State == Migrating || after.State == Retiring
 	if !mayLeave && len(serving) < len(before.ServingReplicas()) {
-		return fmt.Errorf("block %d: a holder leaves while the block is %s", after.ID, after.State)
+		return fmt.Errorf("block %d: a holder leaves while the block is %s; this is allowed only while it is %s or %s",
+			after.ID, after.State, Migrating, Retiring)
 	}
 	// At least one serving replica must have served before: no other is known to be complete.
 	served := func(r Replica) bool { return before.ServedBy(r.Server) }
 	if before.State != Retiring && !slices.ContainsFunc(serving, served) {
-		return fmt.Errorf("block %d: none of its holders held it before", after.ID)
+		return fmt.Errorf("block %d: none of its serving holders served it before; at least one must have", after.ID)
 	}
 	return nil
 }
@@ -141,18 +148,20 @@
 	previous, existed := before.replica(server)
 	switch {
 	case !existed && !replica.Joining:
-		return fmt.Errorf("%s serves without having joined", server)
+		return fmt.Errorf("holder %q serves without having joined; a new holder must join first", server)
 	case !existed && before.State != Serving && before.State != Migrating:
-		return fmt.Errorf("%s joins while the block is %s", server, before.State)
+		return fmt.Errorf("holder %q joins a block that was %s; this is allowed only if it was %s or %s",
+			server, before.State, Serving, Migrating)
 	case !existed:
 		return nil
 	case !previous.Joining && replica.Joining:
-		return fmt.Errorf("%s served, and joins again", server)
+		return fmt.Errorf("holder %q already served and must not join again", server)
 	case previous.Joining && !replica.Joining && replica.ServingSince != epoch:
-		return fmt.Errorf("%s serves since epoch %d, and not since %d", server, epoch, replica.ServingSince)
+		return fmt.Errorf("holder %q serves since epoch %d, want epoch %d, the first in which it is not joining",
+			server, replica.ServingSince, epoch)
 	case !previous.Joining && replica.ServingSince != previous.ServingSince:
-		return fmt.Errorf("%s served since epoch %d, and now since %d",
-			server, previous.ServingSince, replica.ServingSince)
+		return fmt.Errorf("holder %q serves since epoch %d, want epoch %d as in the previous map",
+			server, replica.ServingSince, previous.ServingSince)
 	}
 	return nil
 }
@@ -160,28 +169,32 @@
 // checkNewShard checks a shard whose id is new: it must replace its parents, which must retire in this epoch.
 func (m *Map) checkNewShard(old *Map, shard *Shard) error {
 	if shard.State != Serving {
-		return fmt.Errorf("block %d: new, and %s", shard.ID, shard.State)
+		return fmt.Errorf("block %d is new and %s; a new block must be %s", shard.ID, shard.State, Serving)
 	}
 	if len(shard.Parents) == 0 {
-		return fmt.Errorf("block %d: new, and without parents", shard.ID)
+		return fmt.Errorf("block %d is new and without parents; a new block must replace others", shard.ID)
 	}
 	for i, id := range shard.Parents {
 		before := old.Shard(id)
 		after := m.Shard(id)
 		switch {
 		case before == nil || after == nil:
-			return fmt.Errorf("block %d: its parent %d is not there", shard.ID, id)
+			return fmt.Errorf("block %d: its parent %d is missing from the previous map or from this one", shard.ID, id)
 		case before.State != Splitting && before.State != Merging || after.State != Retiring:
-			return fmt.Errorf("block %d: its parent %d goes from %s to %s", shard.ID, id, before.State, after.State)
+			return fmt.Errorf("block %d: the state of its parent %d changes from %s to %s, want from %s or %s to %s",
+				shard.ID, id, before.State, after.State, Splitting, Merging, Retiring)
 		case before.State == Splitting && !isPartOf(shard, before):
-			return fmt.Errorf("block %d: its range %s is not a part of its parent's %s",
-				shard.ID, shard.Range(), before.Range())
+			return fmt.Errorf("block %d with parents %v: block %d must be its only parent, "+
+				"and its range %s must lie in the parent's %s",
+				shard.ID, shard.Parents, id, shard.Range(), before.Range())
 		case before.State == Merging && !mergesParent(old, shard, i):
-			return fmt.Errorf("block %d: its range %s is not that of its parents together", shard.ID, shard.Range())
+			return fmt.Errorf("block %d: its range %s must be that of its parents %v, adjacent and in this order",
+				shard.ID, shard.Range(), shard.Parents)
 		}
 		for _, r := range shard.ServingReplicas() {
 			if !before.ServedBy(r.Server) {
-				return fmt.Errorf("block %d: its holder %s did not serve its parent %d", shard.ID, r.Server, id)
+				return fmt.Errorf("block %d: its holder %q did not serve its parent %d; "+
+					"each holder must have served every parent", shard.ID, r.Server, id)
 			}
 		}
 	}
--- a/internal/control/shardmap/succession_test.go
+++ b/internal/control/shardmap/succession_test.go
@@ -101,13 +101,13 @@
 			delete(s, 4)
 			s[5].To = ""
 		},
-		want: "takes a new id",
+		want: "requires a new id",
 	},
 	"the parent is removed at once": {
 		from:   announceSplit,
 		epochs: 1,
 		change: splitAndRemoveShardTwo,
-		want:   "it has to retire first",
+		want:   "only a block that is retiring may be removed",
 	},
 	"a split that was not seen": {
 		from:   untouched,
@@ -126,13 +126,13 @@
 		from:   untouched,
 		epochs: 1,
 		change: moveBoundary,
-		want:   "takes a new id",
+		want:   "requires a new id",
 	},
 	"other ranges, after epochs that were not seen": {
 		from:   untouched,
 		epochs: 5,
 		change: moveBoundary,
-		want:   "takes a new id",
+		want:   "requires a new id",
 	},
 	"a server joins": {
 		from:   untouched,
@@ -161,7 +161,7 @@
 		change: func(s map[ID]*Shard) {
 			s[2].Replicas = append(replicasOn("a", "b"), Replica{Server: "c", ServingSince: 2})
 		},
-		want: "since epoch 3",
+		want: "since epoch 2, want epoch 3",
 	},
 	"all earlier servers leave": {
 		from:   migrating,
@@ -170,7 +170,7 @@
 			s[2].State = Serving
 			s[2].Replicas = []Replica{{Server: "c", ServingSince: 3}}
 		},
-		want: "none of its holders held it before",
+		want: "none of its serving holders served it before",
 	},
 	"one earlier server leaves": {
 		from:   migrating,
@@ -190,7 +190,7 @@
 		from:   migrating,
 		epochs: 1,
 		change: func(s map[ID]*Shard) { s[2].Replicas[0].Joining = true },
-		want:   "joins again",
+		want:   "must not join again",
 	},
 	"a migrating shard is split": {
 		from:   migrating,
@@ -239,7 +239,7 @@
 		}
 		s[4].State = Retiring
 	})
-	if err := reused.ValidateSuccession(m); err == nil || !strings.Contains(err.Error(), "given before") {
+	if err := reused.ValidateSuccession(m); err == nil || !strings.Contains(err.Error(), "assigned before") {
 		t.Error(err)
 	}
 }
