--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -32,7 +32,7 @@
 
 // attempt is one attempt at a part, from Send until its AttemptEnded event is emitted.
 type attempt struct {
-	call      aggregator.OutgoingAttempt
+	outgoing  aggregator.OutgoingAttempt
 	host      *host
 	conn      *conn // nil while it is queued
 	state     attemptState
@@ -123,7 +123,7 @@
 	}
 	for _, attempt := range batch.attempts {
 		// A late answer to a previous attempt at the part would be taken for the answer to this one.
-		if _, canceled := conn.canceledAt[attempt.call.Name]; canceled || conn.streams[attempt.call.Name] != nil {
+		if _, canceled := conn.canceledAt[attempt.outgoing.Name]; canceled || conn.streams[attempt.outgoing.Name] != nil {
 			return false
 		}
 	}
@@ -132,24 +132,24 @@
 
 // write hands a batch to a connection's transport.
 func (p *Pool) write(now time.Time, conn *conn, batch *batch) {
-	calls := make([]aggregator.OutgoingAttempt, len(batch.attempts))
+	outgoing := make([]aggregator.OutgoingAttempt, len(batch.attempts))
 	within := maxWriteDelay
 	for i, attempt := range batch.attempts {
-		calls[i] = attempt.call
-		if !attempt.call.WriteBy.IsZero() {
-			within = min(within, attempt.call.WriteBy.Sub(now))
+		outgoing[i] = attempt.outgoing
+		if !attempt.outgoing.WriteBy.IsZero() {
+			within = min(within, attempt.outgoing.WriteBy.Sub(now))
 		}
 		attempt.conn = conn
 		attempt.state = stateWriting
 		attempt.writtenAt = now
-		conn.streams[attempt.call.Name] = attempt
+		conn.streams[attempt.outgoing.Name] = attempt
 	}
 	conn.lastUsed = now
 	attempts := batch.attempts
 	write := tcp.DeferredWrite{
-		Size:   estimatedCallSize(calls),
+		Size:   estimatedCallSize(outgoing),
 		Within: within,
-		Bytes:  func(now time.Time) []byte { return sendableFrame(now, calls) },
+		Bytes:  func(now time.Time) []byte { return sendableFrame(now, outgoing) },
 	}
 	conn.transport.WriteDeferred(write, func(result tcp.WriteResult) {
 		p.mailbox.Put(writeFinished{conn: conn, attempts: attempts, result: result})
@@ -175,7 +175,7 @@
 				Canceled: true,
 				Cause:    errServerReplaced,
 			})
-		case attempt.call.Expired(now):
+		case attempt.outgoing.Expired(now):
 			p.fail(attempt, &aggregator.AttemptError{Progress: aggregator.NotConnected, Canceled: true})
 		default:
 			sendable = append(sendable, attempt)
@@ -198,7 +198,7 @@
 }
 
 func (p *Pool) handleWritten(attempt *attempt, result tcp.WriteResult) {
-	if p.attempts[attempt.call.Attempt] != attempt || attempt.state != stateWriting {
+	if p.attempts[attempt.outgoing.Attempt] != attempt || attempt.state != stateWriting {
 		return
 	}
 	switch {
@@ -252,7 +252,7 @@
 		return
 	}
 	conn.lastUsed = now
-	frame := AppendFrame(nil, frameCancel, []byte(attempt.call.Name))
+	frame := AppendFrame(nil, frameCancel, []byte(attempt.outgoing.Name))
 	if attempt.unconfirmed {
 		conn.probes = append(conn.probes, &probe{
 			host:     attempt.host,
@@ -280,7 +280,7 @@
 // The frame was written, or the connection is closed: either makes the server cancel the attempt.
 func (p *Pool) handleCancelWritten(now time.Time, attempt *attempt) {
 	conn := attempt.conn
-	if p.attempts[attempt.call.Attempt] != attempt || conn.state == connClosing {
+	if p.attempts[attempt.outgoing.Attempt] != attempt || conn.state == connClosing {
 		return
 	}
 	// Guards against an unreachable machine: its connections stay open and receive nothing, and every call written on them
@@ -296,7 +296,7 @@
 
 // endCanceled ends an attempt whose server has been notified of the cancellation.
 func (p *Pool) endCanceled(now time.Time, attempt *attempt) {
-	attempt.conn.canceledAt[attempt.call.Name] = now
+	attempt.conn.canceledAt[attempt.outgoing.Name] = now
 	p.fail(attempt, &aggregator.AttemptError{Progress: aggregator.Written, Canceled: true})
 }
 
@@ -307,14 +307,14 @@
 
 // end ends an attempt, unless it has ended already. ended is the event to emit; its Attempt field is set here.
 func (p *Pool) end(attempt *attempt, ended aggregator.AttemptEnded) {
-	if p.attempts[attempt.call.Attempt] != attempt {
+	if p.attempts[attempt.outgoing.Attempt] != attempt {
 		return
 	}
-	delete(p.attempts, attempt.call.Attempt)
-	if attempt.conn != nil && attempt.conn.streams[attempt.call.Name] == attempt {
-		delete(attempt.conn.streams, attempt.call.Name)
+	delete(p.attempts, attempt.outgoing.Attempt)
+	if attempt.conn != nil && attempt.conn.streams[attempt.outgoing.Name] == attempt {
+		delete(attempt.conn.streams, attempt.outgoing.Name)
 	}
-	ended.Attempt = attempt.call.Attempt
-	aggregator.SetSubject(ended.Err, attempt.host.id, attempt.call.Name)
+	ended.Attempt = attempt.outgoing.Attempt
+	aggregator.SetSubject(ended.Err, attempt.host.id, attempt.outgoing.Name)
 	p.emit(ended)
 }
--- a/internal/backend/leaf/frame.go
+++ b/internal/backend/leaf/frame.go
@@ -134,48 +134,49 @@
 
 // sendableFrame returns the frame of one call as of now; nil if any of its attempts has expired or was abandoned. The core
 // decides whether the parts of the other attempts are sent again.
-func sendableFrame(now time.Time, calls []aggregator.OutgoingAttempt) []byte {
-	for _, call := range calls {
-		if call.Expired(now) || call.Abandoned != nil && call.Abandoned(now) {
+func sendableFrame(now time.Time, attempts []aggregator.OutgoingAttempt) []byte {
+	for _, attempt := range attempts {
+		if attempt.Expired(now) || attempt.Abandoned != nil && attempt.Abandoned(now) {
 			return nil
 		}
 	}
-	return callFrame(now, calls)
+	return callFrame(now, attempts)
 }
 
 // estimatedCallSize returns the approximate length of a call's frame.
-func estimatedCallSize(calls []aggregator.OutgoingAttempt) int {
+func estimatedCallSize(attempts []aggregator.OutgoingAttempt) int {
 	const optionsSize = 32
 	size := 0
-	for _, call := range calls {
-		size += len(call.Name) + len(call.Payload) + optionsSize
+	for _, attempt := range attempts {
+		size += len(attempt.Name) + len(attempt.Payload) + optionsSize
 	}
 	return size
 }
 
 // callFrame returns the frame of one call.
-func callFrame(now time.Time, calls []aggregator.OutgoingAttempt) []byte {
+func callFrame(now time.Time, attempts []aggregator.OutgoingAttempt) []byte {
 	var payload []byte
-	for _, c := range calls {
-		payload = fmt.Appendf(payload, "%s %d %s %d\n", c.Name, c.Shard, callOptions(now, c), len(c.Payload))
-		payload = append(payload, c.Payload...)
+	for _, attempt := range attempts {
+		payload = fmt.Appendf(payload, "%s %d %s %d\n",
+			attempt.Name, attempt.Shard, callOptions(now, attempt), len(attempt.Payload))
+		payload = append(payload, attempt.Payload...)
 	}
 	return AppendFrame(nil, frameCall, payload)
 }
 
 // callOptions returns the options of a part: the time to its deadline in milliseconds, at least 1, and, for a follow-up,
 // the shards that answered the first step and whether the first step was complete.
-func callOptions(now time.Time, c aggregator.OutgoingAttempt) string {
-	options := fmt.Sprintf("d=%d", max(1, c.Deadline.Sub(now).Milliseconds()))
-	if !c.FollowUp {
+func callOptions(now time.Time, attempt aggregator.OutgoingAttempt) string {
+	options := fmt.Sprintf("d=%d", max(1, attempt.Deadline.Sub(now).Milliseconds()))
+	if !attempt.FollowUp {
 		return options
 	}
-	shards := make([]string, len(c.FirstStepShards))
-	for i, shard := range c.FirstStepShards {
+	shards := make([]string, len(attempt.FirstStepShards))
+	for i, shard := range attempt.FirstStepShards {
 		shards[i] = strconv.Itoa(shard)
 	}
 	complete := 0
-	if c.FirstStepComplete {
+	if attempt.FirstStepComplete {
 		complete = 1
 	}
 	return options + fmt.Sprintf(",from=%s,whole=%d", strings.Join(shards, "+"), complete)
--- a/internal/backend/leaf/frame_test.go
+++ b/internal/backend/leaf/frame_test.go
@@ -112,9 +112,9 @@
 	outsideWindow := valid
 	outsideWindow.WriteBy = testStart
 	for name, test := range map[string]struct {
-		now   time.Time
-		calls []aggregator.OutgoingAttempt
-		want  string // in the frame; empty: there is none
+		now      time.Time
+		attempts []aggregator.OutgoingAttempt
+		want     string // in the frame; empty: there is none
 	}{
 		"at once":           {testStart, []aggregator.OutgoingAttempt{valid}, " d=1000 "},
 		"delayed":           {testStart.Add(150 * time.Millisecond), []aggregator.OutgoingAttempt{valid}, " d=850 "},
@@ -123,7 +123,7 @@
 		"with an abandoned": {testStart, []aggregator.OutgoingAttempt{valid, abandoned}, ""},
 		"outside a window":  {testStart, []aggregator.OutgoingAttempt{outsideWindow}, ""},
 	} {
-		frame := string(sendableFrame(test.now, test.calls))
+		frame := string(sendableFrame(test.now, test.attempts))
 		if (frame == "") != (test.want == "") || !strings.Contains(frame, test.want) {
 			t.Errorf("%s: %q, want %q", name, frame, test.want)
 		}
--- a/internal/backend/leaf/harness_test.go
+++ b/internal/backend/leaf/harness_test.go
@@ -223,8 +223,8 @@
 	n := len(h.sent)
 	a := &attemptModel{id: aggregator.AttemptID{Part: balance.ID(n)}, name: fmt.Sprintf("q.%d", n)}
 	h.sent = append(h.sent, a)
-	call := aggregator.OutgoingAttempt{Attempt: a.id, Name: a.name, Deadline: h.now.Add(5 * time.Second)}
-	h.pool.Send(h.now, h.server(), []aggregator.OutgoingAttempt{call})
+	outgoing := aggregator.OutgoingAttempt{Attempt: a.id, Name: a.name, Deadline: h.now.Add(5 * time.Second)}
+	h.pool.Send(h.now, h.server(), []aggregator.OutgoingAttempt{outgoing})
 	h.runTurn()
 	return a
 }
--- a/internal/backend/leaf/pool.go
+++ b/internal/backend/leaf/pool.go
@@ -138,12 +138,12 @@
 func (p *Pool) SetDirectory(d Directory) { p.directory = d }
 
 // Send sends these attempts to a server in one call.
-func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.OutgoingAttempt) {
+func (p *Pool) Send(now time.Time, to aggregator.Server, attempts []aggregator.OutgoingAttempt) {
 	h := p.host(to.ID)
 	b := &batch{host: h, addr: to.Addr, serverStarted: to.Started}
-	for _, call := range calls {
-		a := &attempt{call: call, host: h}
-		p.attempts[call.Attempt] = a
+	for _, outgoing := range attempts {
+		a := &attempt{outgoing: outgoing, host: h}
+		p.attempts[outgoing.Attempt] = a
 		b.attempts = append(b.attempts, a)
 	}
 	p.dispatch(now, b)
--- a/internal/backend/leaf/probe.go
+++ b/internal/backend/leaf/probe.go
@@ -81,7 +81,7 @@
 
 // awaitsConfirmation reports whether the canceled attempt of a probe has not ended yet.
 func (p *Pool) awaitsConfirmation(probe *probe) bool {
-	return p.attempts[probe.confirms.call.Attempt] == probe.confirms
+	return p.attempts[probe.confirms.outgoing.Attempt] == probe.confirms
 }
 
 // confirmationOverdue reports whether a probe behind a cancel frame is still unanswered at its deadline.
