--- a/internal/backend/serialconn/attempt.go
+++ b/internal/backend/serialconn/attempt.go
@@ -12,7 +12,7 @@
 
 // attempt is one attempt at a part, from Send until its AttemptEnded event is emitted.
 type attempt struct {
-	call      aggregator.OutgoingAttempt
+	outgoing  aggregator.OutgoingAttempt
 	server    aggregator.Server
 	conn      *conn
 	progress  aggregator.Progress // an upper bound until the write result arrives
@@ -47,15 +47,15 @@
 			Cause:    errServerUnavailable,
 		}
 	}
-	call := &attempt.call
-	if attempt.canceled || call.Expired(now) || call.Abandoned != nil && call.Abandoned(now) {
+	outgoing := &attempt.outgoing
+	if attempt.canceled || outgoing.Expired(now) || outgoing.Abandoned != nil && outgoing.Abandoned(now) {
 		return nil, &aggregator.AttemptError{Progress: aggregator.NotConnected, Canceled: true}
 	}
 	var work query.Work
-	if err := json.Unmarshal([]byte(attempt.call.Payload), &work); err != nil {
+	if err := json.Unmarshal([]byte(attempt.outgoing.Payload), &work); err != nil {
 		return nil, &aggregator.AttemptError{Progress: aggregator.NotConnected, Cause: fmt.Errorf("decode payload: %w", err)}
 	}
-	request, err := p.codec(attempt.server.ID).Request(attempt.call, work)
+	request, err := p.codec(attempt.server.ID).Request(attempt.outgoing, work)
 	if err != nil {
 		return nil, &aggregator.AttemptError{Progress: aggregator.NotConnected, Cause: err}
 	}
@@ -68,7 +68,7 @@
 	if result == tcp.WriteNone {
 		attempt.progress = aggregator.NotConnected
 	}
-	if attempt.conn.closed && p.attempts[attempt.call.Attempt] == attempt {
+	if attempt.conn.closed && p.attempts[attempt.outgoing.Attempt] == attempt {
 		p.failLost(attempt, errBroken)
 	}
 }
@@ -99,14 +99,14 @@
 
 // end ends an attempt, unless it has ended already. ended is the event to emit; its Attempt field is set here.
 func (p *Pool) end(attempt *attempt, ended aggregator.AttemptEnded) {
-	if p.attempts[attempt.call.Attempt] != attempt {
+	if p.attempts[attempt.outgoing.Attempt] != attempt {
 		return
 	}
-	delete(p.attempts, attempt.call.Attempt)
+	delete(p.attempts, attempt.outgoing.Attempt)
 	if attempt.conn != nil && attempt.conn.attempt == attempt {
 		attempt.conn.attempt = nil
 	}
-	ended.Attempt = attempt.call.Attempt
-	aggregator.SetSubject(ended.Err, attempt.server.ID, attempt.call.Name)
+	ended.Attempt = attempt.outgoing.Attempt
+	aggregator.SetSubject(ended.Err, attempt.server.ID, attempt.outgoing.Name)
 	p.emit(ended)
 }
--- a/internal/backend/serialconn/codec.go
+++ b/internal/backend/serialconn/codec.go
@@ -14,7 +14,7 @@
 	// it is a Reply with Greeting set.
 	Greeting() []byte
 	// Request returns the encoded request of one attempt. An error means that the protocol cannot express the work.
-	Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error)
+	Request(attempt aggregator.OutgoingAttempt, work query.Work) ([]byte, error)
 	// Parser returns a parser for one connection.
 	Parser() Parser
 }
--- a/internal/backend/serialconn/harness_test.go
+++ b/internal/backend/serialconn/harness_test.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-func (nameCodec) Request(call aggregator.OutgoingAttempt, _ query.Work) ([]byte, error) {
-	return []byte(call.Name), nil
+func (nameCodec) Request(attempt aggregator.OutgoingAttempt, _ query.Work) ([]byte, error) {
+	return []byte(attempt.Name), nil
 }
 
 func (nameCodec) Parser() Parser { return nil }
--- a/internal/backend/serialconn/pool.go
+++ b/internal/backend/serialconn/pool.go
@@ -88,10 +88,10 @@
 func (p *Pool) SetDirectory(d aggregator.Directory) { p.directory = d }
 
 // Send sends each attempt on a connection of its own: an idle one, or a new one.
-func (p *Pool) Send(now time.Time, to aggregator.Server, calls []aggregator.OutgoingAttempt) {
-	for _, call := range calls {
-		a := &attempt{call: call, server: to}
-		p.attempts[call.Attempt] = a
+func (p *Pool) Send(now time.Time, to aggregator.Server, attempts []aggregator.OutgoingAttempt) {
+	for _, outgoing := range attempts {
+		a := &attempt{outgoing: outgoing, server: to}
+		p.attempts[outgoing.Attempt] = a
 		if c := p.takeIdle(now, to); c != nil {
 			p.write(now, c, a)
 			continue
