--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,5 +1,5 @@
 // Package admin serves the operators' protocol (package protocol/admin). It uses the standard library's sockets instead
-// of netpoll's, so that operators are answered while clients keep netpoll's pollers busy. It has its own limit of
+// of netpoll's, so that operators receive responses while clients keep netpoll's pollers busy. It has its own limit of
 // connections, so that clients and operators cannot exhaust each other's.
 package admin
 
@@ -19,19 +19,19 @@
 
 const (
 	// MaxConns is the maximum number of connections. One more evicts the connection that has waited longest for its
-	// call.
+	// command.
 	MaxConns = 16
-	// callTimeout bounds the time until the call has arrived on a connection.
-	callTimeout = 5 * time.Second
-	// answerTimeout bounds the writing of an answer.
-	answerTimeout = time.Second
-	// lingerTimeout is how long the server waits for the client's close after an answer. Closing with unread bytes
-	// would reset the connection, and the client could lose the answer.
+	// commandTimeout bounds the time until the command has arrived on a connection.
+	commandTimeout = 5 * time.Second
+	// responseTimeout bounds the writing of a response.
+	responseTimeout = time.Second
+	// lingerTimeout is how long the server waits for the client's close after a response. Closing with unread bytes
+	// would reset the connection, and the client could lose the response.
 	lingerTimeout = 200 * time.Millisecond
 	// maxLingerBytes is the maximum number of bytes that are read and dropped during that time.
 	maxLingerBytes = 64 << 10
 	// evictionInterval is the pause between attempts to evict a connection while MaxConns are open. None can be evicted
-	// if the calls of all have arrived.
+	// if the commands of all have arrived.
 	evictionInterval = time.Millisecond
 	// acceptBackoff is the pause after a failed accept, usually for lack of file descriptors.
 	acceptBackoff = 20 * time.Millisecond
@@ -39,10 +39,10 @@
 
 var errLineTooLong = errors.New("the call is too long")
 
-// Handler executes a call and returns the answer. It is called concurrently and must return within a second.
-type Handler func(command admin.Command) (answer string)
+// Handler executes a command and returns the response. It is called concurrently and must return within a second.
+type Handler func(command admin.Command) (response string)
 
-// Server serves operators' calls on one listener.
+// Server serves operators' commands on one listener.
 type Server struct {
 	listener net.Listener
 	handle   Handler
@@ -50,7 +50,7 @@
 	mu      sync.Mutex
 	closed  bool
 	open    int
-	waiting list.List // net.Conn values whose call has not been read, oldest first
+	waiting list.List // net.Conn values whose command has not been read, oldest first
 	running sync.WaitGroup
 }
 
@@ -68,7 +68,8 @@
 // Addr returns the address that the server listens on, host:port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close closes the listener and the connections that wait for a call, and waits until all calls have been answered.
+// Close closes the listener and the connections that wait for a command, and waits until the commands that have been
+// read are executed and their responses sent.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -117,13 +118,13 @@
 	s.running.Go(func() { s.serve(conn, element) })
 }
 
-// evictOldest evicts the connection that has waited longest for its call, of those without unread input. The caller
+// evictOldest evicts the connection that has waited longest for its command, of those without unread input. The caller
 // must hold the lock.
 func (s *Server) evictOldest() {
 	for e := s.waiting.Front(); e != nil; e = e.Next() {
 		if conn := e.Value.(net.Conn); !hasInput(conn) {
 			s.waiting.Remove(e)
-			// The connection is not closed, since serve may have read the call by now; it is answered then.
+			// The connection is not closed, since serve may have read the command by now; the response is sent then.
 			_ = conn.SetReadDeadline(time.Now())
 			return
 		}
@@ -144,31 +145,31 @@
 	return readable
 }
 
-// serve reads one call and answers it.
+// serve reads one command and sends the response.
 func (s *Server) serve(conn net.Conn, element *list.Element) {
 	defer s.release()
 	defer closeConn(conn)
 	// Setting a deadline fails only on a closed connection, on which the following read or write fails, too.
-	_ = conn.SetReadDeadline(time.Now().Add(callTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	line, err := bufio.NewReaderSize(conn, admin.MaxLine).ReadSlice('\n')
 	s.endWaiting(element)
-	var answer string
+	var response string
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		answer = admin.Failure(errLineTooLong)
+		response = admin.Failure(errLineTooLong)
 	case err != nil && (!errors.Is(err, io.EOF) || len(line) == 0):
 		return
 	default:
-		answer = s.answer(string(line))
+		response = s.respond(string(line))
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(answerTimeout))
-	if _, err := io.WriteString(conn, answer); err != nil {
+	_ = conn.SetWriteDeadline(time.Now().Add(responseTimeout))
+	if _, err := io.WriteString(conn, response); err != nil {
 		return
 	}
 	linger(conn)
 }
 
-func (s *Server) answer(line string) string {
+func (s *Server) respond(line string) string {
 	command, err := admin.Parse(line)
 	if err != nil {
 		return admin.Failure(err)
@@ -176,7 +177,7 @@
 	return s.handle(command)
 }
 
-// endWaiting removes a connection from waiting, after its call was read or failed to arrive.
+// endWaiting removes a connection from waiting, after its command was read or failed to arrive.
 func (s *Server) endWaiting(element *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -41,18 +41,18 @@
 	return "done " + string(command.Verb) + command.Server + "\n"
 }
 
-// call sends text on a new connection and returns all that is received.
-func call(t *testing.T, s *Server, text string) string {
+// roundTrip sends text on a new connection and returns all that is received.
+func roundTrip(t *testing.T, s *Server, text string) string {
 	t.Helper()
 	conn := dial(t, s)
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(response)
 }
 
 func TestServer_OneLineOneAnswer(t *testing.T) {
@@ -68,13 +68,13 @@
 		strings.Repeat("PING ", admin.MaxLine): "error the call is too long\n",
 		"PING" + strings.Repeat(" ", 99) + "\nxx": "done PING\n",
 	} {
-		if got := call(t, s, text); got != want {
+		if got := roundTrip(t, s, text); got != want {
 			t.Errorf("%.40q: %q, want %q", text, got, want)
 		}
 	}
 }
 
-// A client that half-closes the connection after its call, even without a newline, receives the answer.
+// A client that half-closes the connection after its command, even without a newline, receives the response.
 func TestServer_HalfClose(t *testing.T) {
 	s := listen(t, echo)
 	for _, text := range []string{"PING\n", "PING"} {
@@ -85,13 +85,13 @@
 		if err := conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if answer, err := io.ReadAll(conn); string(answer) != "done PING\n" || err != nil {
-			t.Errorf("%q: %q, %v", text, answer, err)
+		if response, err := io.ReadAll(conn); string(response) != "done PING\n" || err != nil {
+			t.Errorf("%q: %q, %v", text, response, err)
 		}
 	}
 }
 
-// Connections without a complete call do not exhaust the limit: the one that has waited longest is closed for a new
+// Connections without a complete command do not exhaust the limit: the one that has waited longest is closed for a new
 // one.
 func TestServer_IdleConnectionsKeepNobodyOut(t *testing.T) {
 	s := listen(t, echo)
@@ -103,15 +103,15 @@
 		}
 		idle = append(idle, conn)
 	}
-	if got := call(t, s, "PING\n"); got != "done PING\n" {
+	if got := roundTrip(t, s, "PING\n"); got != "done PING\n" {
 		t.Errorf("%q", got)
 	}
-	if answer, err := io.ReadAll(idle[0]); len(answer) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the oldest connection: received %q, %v; want it closed", answer, err)
+	if got, err := io.ReadAll(idle[0]); len(got) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("the oldest connection: received %q, %v; want it closed", got, err)
 	}
 }
 
-// Connections whose call is being executed are not closed for new ones, which wait for them.
+// Connections whose command is being executed are not closed for new ones, which wait for them.
 func TestServer_CallsInFlightAreKept(t *testing.T) {
 	started, release := make(chan struct{}, 2*MaxConns), make(chan struct{})
 	s := listen(t, func(admin.Command) string {
@@ -119,15 +119,15 @@
 		<-release
 		return admin.Done()
 	})
-	answers := make(chan string, 2*MaxConns)
+	responses := make(chan string, 2*MaxConns)
 	for range 2 * MaxConns {
 		conn := dial(t, s)
 		if _, err := io.WriteString(conn, "PING\n"); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			answer, _ := io.ReadAll(conn) // a failure shows in the answer
-			answers <- string(answer)
+			response, _ := io.ReadAll(conn) // a failure shows in the response
+			responses <- string(response)
 		}()
 	}
 	for range MaxConns {
@@ -135,8 +135,8 @@
 	}
 	close(release)
 	for range 2 * MaxConns {
-		if answer := <-answers; answer != "done\n" {
-			t.Errorf("%q", answer)
+		if response := <-responses; response != "done\n" {
+			t.Errorf("%q", response)
 		}
 	}
 }
