--- a/internal/net/discovery/races_test.go
+++ b/internal/net/discovery/races_test.go
@@ -116,7 +116,7 @@
 		}
 		select {
 		case err := <-s.ended:
-			if !strings.Contains(err.Error(), "over 1024 bytes") {
+			if !strings.Contains(err.Error(), "object over the limit of 1024 bytes") {
 				t.Error(err)
 			}
 			return
