--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := balance.New(conf.Decisions(1)); err != nil {
+	if _, err := balance.New(conf.BalancerSettings(1)); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	// The result is the error, and the exit status that follows from it; the text is for people.
--- a/internal/app/partners.go
+++ b/internal/app/partners.go
@@ -65,7 +65,7 @@
 		loopDone:   make(chan struct{}),
 		checksDone: make(chan struct{}),
 	}
-	if err := p.buildLoop(conf.Decisions(seed)); err != nil {
+	if err := p.buildLoop(conf.BalancerSettings(seed)); err != nil {
 		return nil, err
 	}
 	if err := p.buildChecks(seed); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := p.Decisions(1)
+	set := p.BalancerSettings(1)
 	if _, err := balance.New(set); err != nil {
 		t.Error(err)
 	}
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	p, err := LoadPartners("../../deploy/blocks.toml")
-	if err != nil || !p.ShardMap.Enabled() || p.Decisions(1).Cells != 1 {
+	if err != nil || !p.ShardMap.Enabled() || p.BalancerSettings(1).Cells != 1 {
 		t.Fatal(err)
 	}
 	valid := string(text)
--- a/internal/config/partners.go
+++ b/internal/config/partners.go
@@ -177,8 +177,8 @@
 	return slices.IndexFunc(p.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// Decisions are the settings of the decisions that follow from the file. seed is that of all random draws.
-func (p *Partners) Decisions(seed uint64) balance.Settings {
+// BalancerSettings are the settings of the decisions that follow from the file. seed is that of all random draws.
+func (p *Partners) BalancerSettings(seed uint64) balance.Settings {
 	settings := balance.Settings{
 		Seed:            seed,
 		Instances:       p.Instances,
