--- a/internal/app/background/background.go
+++ b/internal/app/background/background.go
@@ -1,5 +1,5 @@
-// Package background runs recurring tasks off the loop, at the times that a scheduler decides: each run on a goroutine
-// of its own, the scheduler on one.
+// Package background runs recurring tasks off the loop at the times that a scheduler determines. Each run has a
+// goroutine of its own; the scheduler has one for all tasks.
 package background
 
 import (
@@ -17,13 +17,13 @@
 
 const (
 	timerResolution = 5 * time.Millisecond
-	// maxStartDelay is the longest delay of a run that the histogram records; it records in microseconds, to two digits.
+	// maxStartDelay is the longest start delay that the histogram records, in microseconds to two significant digits.
 	maxStartDelay    = time.Minute
 	startDelayDigits = 2
 )
 
-// Job is one run of a task. It blocks, and must bound its own time. It returns the result from which the scheduler takes
-// the next interval, and whether the run timed out.
+// Job runs a task once. It may block, and must limit its own run time. It returns the result from which the scheduler
+// derives the next interval, and whether the run timed out.
 type Job func() (result scheduler.Result, timedOut bool)
 
 // Runner runs tasks. Its methods may be called from any goroutine.
@@ -33,7 +33,7 @@
 	schedule   *scheduler.Scheduler
 	jobs       map[scheduler.TaskID]Job
 	startDelay *hdrhistogram.Histogram // microseconds
-	wake       chan struct{}           // the schedule has changed
+	wake       chan struct{}           // signals that the schedule has changed
 	running    sync.WaitGroup
 }
 
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// Add adds a task whose first run starts within first. A task has at most one run at a time.
+// Add adds a task whose first run starts after a delay of at most first. A task has at most one run at a time.
 func (r *Runner) Add(task scheduler.Task, first time.Duration, job Job) scheduler.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// Run runs tasks until stop is closed, and then waits for the runs that have started.
+// Run runs tasks until stop is closed, and then waits for the runs in progress.
 func (r *Runner) Run(stop <-chan struct{}) {
 	defer r.running.Wait()
 	for {
@@ -107,14 +107,14 @@
 	}
 }
 
-// startDue starts the runs that are due, and returns when the next one is; false: none is scheduled.
+// startDue starts the runs that are due, and returns the time of the next one; false: none is scheduled.
 func (r *Runner) startDue() (next time.Time, scheduled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	for _, id := range r.schedule.Advance(now) {
 		delay := max(0, now.Sub(r.schedule.Due(id)))
-		_ = r.startDelay.RecordValue(int64(delay / time.Microsecond)) // beyond maxStartDelay: not recorded
+		_ = r.startDelay.RecordValue(int64(delay / time.Microsecond)) // delays over maxStartDelay are not recorded
 		job := r.jobs[id]
 		r.running.Add(1)
 		go r.runJob(id, job)
@@ -122,7 +122,7 @@
 	return r.schedule.Next()
 }
 
-// runJob runs a task once. A panic ends this run only: the task is scheduled again at its interval.
+// runJob runs a task once. It recovers a panic of the job, and the task is scheduled again at its interval.
 func (r *Runner) runJob(id scheduler.TaskID, job Job) {
 	result, timedOut := scheduler.Steady, false
 	defer func() {
@@ -140,8 +140,8 @@
 	}
 }
 
-// Stats are the schedule's counters, the tasks and runs at present, and the quantiles of how long after their due time
-// runs started.
+// Stats are the schedule's counters, the current numbers of tasks and runs, and quantiles of the delay between a run's
+// due time and its start.
 type Stats struct {
 	scheduler.Stats
 	Tasks, Running               int
@@ -161,7 +161,7 @@
 	}
 }
 
-// quantile returns a percentile of the start delays. r.mu is held.
+// quantile returns a percentile of the start delays. The caller holds r.mu.
 func (r *Runner) quantile(percent float64) time.Duration {
 	return time.Duration(r.startDelay.ValueAtQuantile(percent)) * time.Microsecond
 }
--- a/internal/app/background/background_test.go
+++ b/internal/app/background/background_test.go
@@ -15,11 +15,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// manualClock is a clock that stands still until a test advances it.
+// manualClock is a clock that advances only by calls of advance.
 type manualClock struct {
 	mu     sync.Mutex
 	now    time.Time
-	timers map[chan time.Time]time.Time // when each is due
+	timers map[chan time.Time]time.Time // due time of each timer
 }
 
 func newManualClock() *manualClock {
@@ -56,7 +56,7 @@
 	c.fire()
 }
 
-// fire fires the timers that are due. c.mu is held.
+// fire fires the timers that are due. The caller holds c.mu.
 func (c *manualClock) fire() {
 	for timer, due := range c.timers {
 		if !due.After(c.now) {
@@ -83,7 +83,7 @@
 	return runner, clock
 }
 
-// startRunner runs a runner. The function that it returns stops the runner, and waits for it; so does the test's end.
+// startRunner runs a runner. The returned function stops the runner and waits for it; the test's cleanup calls it, too.
 func startRunner(t *testing.T, runner *Runner) (stop func()) {
 	t.Helper()
 	stopped := make(chan struct{})
@@ -100,7 +100,7 @@
 	return stop
 }
 
-// countingJob returns a job that reports each run.
+// countingJob returns a job that sends to runs each time it runs.
 func countingJob() (job Job, runs chan struct{}) {
 	runs = make(chan struct{}, 100)
 	return func() (scheduler.Result, bool) {
@@ -109,7 +109,7 @@
 	}, runs
 }
 
-// awaitIdle waits until no run goes on: the ends of all that were seen have been recorded.
+// awaitIdle waits until the runner has recorded the end of every started run.
 func awaitIdle(runner *Runner) {
 	for runner.Stats().Running > 0 {
 		runtime.Gosched()
@@ -118,11 +118,11 @@
 
 func TestNew_InvalidBudget(t *testing.T) {
 	if _, err := New(scheduler.Budget{}, 1, newManualClock()); err == nil {
-		t.Error("a budget without starts is accepted")
+		t.Error("a budget of 0 starts per second was accepted")
 	}
 }
 
-// The time stands still between the advances, so that a run shows that its interval is over.
+// The clock advances only by the interval, so that each further run shows that the interval has elapsed.
 func TestRunner_RunsATaskAtItsInterval(t *testing.T) {
 	runner, clock := newRunner(t)
 	startRunner(t, runner)
@@ -162,7 +162,7 @@
 	runner.Add(hourly, 0, other)
 	<-otherRuns
 	clock.advance(2 * interval)
-	<-otherRuns // the removed task would have been due before
+	<-otherRuns // the removed task would have run before this one
 	stop()
 	if len(removedRuns) > 0 {
 		t.Error("a removed task has run")
@@ -172,7 +172,7 @@
 	}
 }
 
-// A task that is due again while it runs is not started a second time.
+// A task that becomes due while it runs is not started a second time.
 func TestRunner_OneRunAtATime(t *testing.T) {
 	runner, clock := newRunner(t)
 	stop := startRunner(t, runner)
@@ -188,7 +188,7 @@
 	clock.advance(2 * interval)
 	other, otherRuns := countingJob()
 	runner.Add(hourly, 0, other)
-	<-otherRuns // the runner has looked at all tasks since
+	<-otherRuns // by now the runner has evaluated all tasks
 	if starts := runner.Stats().Starts; starts != 2 || len(began) > 0 {
 		t.Errorf("%d runs have started, want one of each task", starts)
 	}
@@ -196,7 +196,7 @@
 	stop()
 }
 
-// A job that panics ends its own run only: the task runs again, and so do others.
+// After a job has panicked, its task runs again at its interval, and other tasks still run.
 func TestRunner_PanicInAJob(t *testing.T) {
 	runner, clock := newRunner(t)
 	startRunner(t, runner)
@@ -214,7 +214,7 @@
 	<-otherRuns
 }
 
-// Run returns only after the runs that have started.
+// Run returns only after all started runs have ended.
 func TestRunner_Stop_WaitsForRuns(t *testing.T) {
 	runner, _ := newRunner(t)
 	began := make(chan struct{})
@@ -236,12 +236,12 @@
 	close(stopped)
 	select {
 	case <-done:
-		t.Error("Run has returned while a job runs")
+		t.Error("Run returned while a job was running")
 	default:
 	}
 	close(release)
 	<-done
 	if !ended {
-		t.Error("Run has returned before the job")
+		t.Error("Run returned before the job ended")
 	}
 }
--- a/internal/app/grpchealthcmd/grpchealthcmd.go
+++ b/internal/app/grpchealthcmd/grpchealthcmd.go
@@ -1,6 +1,6 @@
-// Package grpchealthcmd is the command of cmd/grpchealth, and of its former name cmd/rookgrpc: a process beside an
-// aggregator that serves its health over grpc.health.v1, and checks gRPC servers on its behalf. It is a process of its
-// own so that the aggregator does not link the gRPC library.
+// Package grpchealthcmd implements the command of cmd/grpchealth, and of its previous name cmd/rookgrpc: a sidecar
+// process that serves an aggregator's health over grpc.health.v1, and checks gRPC servers on its behalf. It is a
+// separate process so that the aggregator does not link the gRPC library.
 package grpchealthcmd
 
 import (
@@ -22,13 +22,13 @@
 )
 
 const (
-	// minInterval and maxInterval bound --every. A report must be true within a second.
+	// minInterval and maxInterval bound --every. A report must be accurate within a second.
 	minInterval     = 10 * time.Millisecond
 	maxInterval     = 500 * time.Millisecond
 	defaultInterval = 100 * time.Millisecond
 
 	maxMessageBytes   = 64 << 10 // of a gRPC call
-	maxStreams        = 64       // gRPC calls of a connection at a time
+	maxStreams        = 64       // concurrent gRPC calls of a connection
 	bridgeHeaderTime  = 2 * time.Second
 	bridgeHeaderBytes = 8 << 10
 	exitFailure       = 2
@@ -39,10 +39,10 @@
 	listen     string        // address for gRPC clients; empty: none
 	aggregator string        // address of the aggregator's health listener
 	bridge     string        // address of the HTTP side for checks of gRPC servers; empty: none
-	interval   time.Duration // between two requests to the aggregator
+	interval   time.Duration // between requests to the aggregator
 }
 
-// Main runs the command under a program's name, and ends the process if it fails.
+// Main runs the command under a program name, and exits with a non-zero status if it fails.
 func Main(name string) {
 	if err := New(name).Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -50,7 +50,7 @@
 	}
 }
 
-// New returns the command under a program's name. It runs until SIGINT or SIGTERM.
+// New returns the command under a program name. It runs until SIGINT or SIGTERM.
 func New(name string) *cobra.Command {
 	var o options
 	c := &cobra.Command{
@@ -78,11 +78,11 @@
 func (o *options) validate() error {
 	switch {
 	case o.listen == "" && o.bridge == "":
-		return errors.New("neither --listen nor --bridge")
+		return errors.New("at least one of --listen and --bridge is required")
 	case o.listen != "" && o.aggregator == "":
-		return errors.New("--listen needs --mixer, the aggregator whose health it serves")
+		return errors.New("--listen requires --mixer, the address of the aggregator whose health it serves")
 	case o.interval < minInterval || o.interval > maxInterval:
-		return fmt.Errorf("--every %v: 10ms to 500ms, so that reports are true within a second", o.interval)
+		return fmt.Errorf("--every must be 10ms to 500ms, not %v: reports must be accurate within a second", o.interval)
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 func (o *options) run() error {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	failed := make(chan error, 2) // one for each server, so that neither blocks after the end
+	failed := make(chan error, 2) // one slot for each server, so that neither blocks after run has returned
 	if o.listen != "" {
 		stop, err := o.serveGRPC(ctx, failed)
 		if err != nil {
@@ -140,7 +140,7 @@
 	server := &http.Server{Handler: checker, ReadHeaderTimeout: bridgeHeaderTime, MaxHeaderBytes: bridgeHeaderBytes}
 	go func() { failed <- server.Serve(listener) }()
 	return func() {
-		_ = server.Close() // the process ends: nothing is left to do about an error
+		_ = server.Close() // the process exits, so an error has no effect
 		checker.Close()
 	}, nil
 }
--- a/internal/app/grpchealthcmd/grpchealthcmd_test.go
+++ b/internal/app/grpchealthcmd/grpchealthcmd_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// Under its former name the command has the same flags with the same defaults, and accepts and rejects the same.
+// Under its previous name the command has the same flags and defaults, and rejects the same arguments with the same
+// errors.
 func TestNew_FormerName_IsTheSameCommand(t *testing.T) {
-	now, former := New("grpchealth").Flags().FlagUsages(), New("rookgrpc").Flags().FlagUsages()
-	if now != former || strings.Count(now, "--") < 4 {
-		t.Errorf("grpchealth has the flags\n%s\nand rookgrpc\n%s", now, former)
+	current, previous := New("grpchealth").Flags().FlagUsages(), New("rookgrpc").Flags().FlagUsages()
+	if current != previous || strings.Count(current, "--") < 4 {
+		t.Errorf("grpchealth has the flags\n%s\nand rookgrpc\n%s", current, previous)
 	}
 	for _, args := range [][]string{{}, {"--listen", "127.0.0.1:0"}, {"--bridge", "127.0.0.1:0", "--every", "1s"}, {"argument"}} {
 		var texts [2]string
@@ -25,7 +26,7 @@
 			texts[i] = strings.ReplaceAll(err.Error(), name, "NAME")
 		}
 		if texts[0] != texts[1] {
-			t.Errorf("%v: %q, and under the former name %q", args, texts[0], texts[1])
+			t.Errorf("%v: %q, and under the previous name %q", args, texts[0], texts[1])
 		}
 	}
 }
--- a/internal/app/healthclient.go
+++ b/internal/app/healthclient.go
@@ -14,20 +14,20 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// ServerHealth is what is known of one server, as the health command and GET /servers print it.
+// ServerHealth is the health of one server, as the health command and GET /servers print it.
 type ServerHealth struct {
 	ID              string        `json:"server"`
 	State           string        `json:"state"`
 	Usable          bool          `json:"usable"`
-	EjectedClasses  uint64        `json:"shunned_classes,omitempty"` // bit c: only a last resort for class c
-	TrafficFraction float64       `json:"share"`                     // over 0 to 1
-	MaxInFlight     int           `json:"most,omitempty"`            // 0: not limited
+	EjectedClasses  uint64        `json:"shunned_classes,omitempty"` // bit c: class c uses it only as a last resort
+	TrafficFraction float64       `json:"share"`                     // greater than 0, at most 1
+	MaxInFlight     int           `json:"most,omitempty"`            // 0: unlimited
 	Cause           string        `json:"cause,omitempty"`
 	Facts           []health.Fact `json:"facts"`
 }
 
 func newServerHealth(table *health.Table, now time.Time, id string) ServerHealth {
-	decision, _ := table.Decision(health.ID(id)) // an unknown server has the zero decision
+	decision, _ := table.Decision(health.ID(id)) // the zero decision for an unknown server
 	return ServerHealth{
 		ID:              id,
 		State:           decision.State.String(),
@@ -40,21 +40,21 @@
 	}
 }
 
-// healthy says whether the server may be used by all classes.
+// healthy reports whether the server is in service and usable for all classes.
 func (s *ServerHealth) healthy() bool {
 	return s.State == health.InService.String() && s.Usable && s.EjectedClasses == 0
 }
 
 // HealthOptions are the options of CheckServers.
 type HealthOptions struct {
-	Watch bool // check again and again, and print what changes, until Stop is closed
+	Watch bool // repeat the checks and print changes until Stop is closed
 	JSON  bool // print JSON: one document, or with Watch one object per line
 	Stop  <-chan struct{}
 }
 
-// CheckServers runs all checks of all servers in an operator's file, and prints for each server what every check
-// says and the state that follows. It returns whether all servers may be used. What only a running aggregator
-// knows, the outcomes of real requests, is not included: GET /servers of its health listener has it.
+// CheckServers runs all checks of all servers in an operator's file, and prints for each server the result of every
+// check and the resulting state. It returns whether all servers are healthy. The outcomes of real requests, which only
+// a running aggregator records, are not included: GET /servers of its health listener reports them.
 func CheckServers(path string, out io.Writer, options HealthOptions) (healthy bool, err error) {
 	conf, err := config.LoadPartners(path)
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return false, err
 	}
-	printed := map[string]string{} // state and cause of each server at its last report
+	printed := map[string]string{} // state and cause of each server in its last printed report
 	for {
 		runAllChecks(conf, table)
 		var reports []ServerHealth
@@ -83,8 +83,8 @@
 	}
 }
 
-// newHealthTable returns a table of the file's servers. Without watch each check runs once, so that its single result
-// has to count.
+// newHealthTable returns a table of the file's servers. Without watch each check runs only once, so the thresholds fall
+// and rise are 1.
 func newHealthTable(conf *config.Partners, watch bool) (*health.Table, error) {
 	sources := conf.HealthSources()
 	if !watch {
@@ -116,7 +116,7 @@
 		report := newServerHealth(table, now, server.ID)
 		healthy = healthy && report.healthy()
 		summary := report.State + report.Cause
-		if before, ok := printed[server.ID]; !ok || before != summary {
+		if previous, ok := printed[server.ID]; !ok || previous != summary {
 			reports = append(reports, report)
 		}
 		printed[server.ID] = summary
@@ -130,7 +130,7 @@
 	source int
 }
 
-// checksOf are the checks of a server.
+// checksOf returns the checks of a server.
 func checksOf(conf *config.Partners, server config.Server) (checks []serverCheck) {
 	for _, name := range server.Checks {
 		for i := range conf.CheckProfiles {
@@ -207,7 +207,7 @@
 // sourceWidth is the width of the column of check names in a report's text.
 const sourceWidth = 24
 
-// text is a report for people: a line for the server, and one for each of its facts.
+// text formats the report for people: a line for the server, and one for each of its facts.
 func (s *ServerHealth) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %s\n", s.ID, s.summary())
@@ -224,7 +224,7 @@
 	return b.String()
 }
 
-// summary is the state of a server and its cause in one line.
+// summary returns the state of the server and its cause on one line.
 func (s *ServerHealth) summary() string {
 	text := s.State
 	if s.State == health.InService.String() && s.EjectedClasses != 0 {
--- a/internal/app/healthtracker.go
+++ b/internal/app/healthtracker.go
@@ -19,16 +19,16 @@
 type healthTracker struct {
 	table      *health.Table
 	servers    map[health.ID]aggregator.Server
-	shards     map[health.ID]map[int]bool // active shards of each server, where a shard map says so
+	shards     map[health.ID]map[int]bool // active shards of each server, if a shard map is used
 	objectives []time.Duration            // of each class
 	log        *slog.Logger
 	mailbox    aggregator.Poster
 	evaluating bool   // an evaluateHealth message is in the mailbox
 	changes    uint64 // notable changes so far, for the counters
-	version    uint64 // incremented with whatever may change which servers are usable
+	version    uint64 // incremented by every change that may affect which servers are usable
 }
 
-// checkCompleted is the result of one health check, posted to the loop.
+// checkCompleted carries the result of one health check to the loop.
 type checkCompleted struct {
 	aggregator.AdapterMessage
 	server health.ID
@@ -70,8 +70,8 @@
 	return h, nil
 }
 
-// shardsOfCell are the shards that a server of a cell holds: those that start at its cell or at one of the reach-1
-// cells before it on the ring.
+// shardsOfCell returns the shards whose replicas include the servers of a cell: those that start at the cell or at one
+// of the reach-1 cells before it on the ring.
 func shardsOfCell(conf *config.Partners, cell int) (shards []int) {
 	cells := conf.Shards.Cells
 	for shard := range conf.Shards.Count {
@@ -93,8 +93,8 @@
 	}
 }
 
-// shardMapAdopted takes the servers' shards from a newly adopted map; old is nil for the first one. The health table
-// gets the servers whose shards changed only.
+// shardMapAdopted updates the servers' shards from a newly adopted map; old is nil for the first one. Only servers
+// whose shards changed are passed to the health table.
 func (h *healthTracker) shardMapAdopted(now time.Time, old, adopted *shardmap.Map) {
 	changed := map[health.ID]bool{}
 	if old == nil {
@@ -144,7 +144,8 @@
 	}
 }
 
-// Handle records the result of a check and evaluates what has been recorded. It implements aggregator.Adapter.
+// Handle records the result of a check, if the message has one, and evaluates the table. It implements
+// aggregator.Adapter.
 func (h *healthTracker) Handle(now time.Time, message aggregator.Message) ([]aggregator.Event, bool) {
 	switch m := message.(type) {
 	case checkCompleted:
@@ -157,14 +158,14 @@
 	return h.evaluate(now), true
 }
 
-// Sweep evaluates what has become due and returns the next deadline.
+// Sweep evaluates the entries that are due and returns the next deadline.
 func (h *healthTracker) Sweep(now time.Time) ([]aggregator.Event, time.Time) {
 	events := h.evaluate(now)
 	next, _ := h.table.NextDeadline()
 	return events, next
 }
 
-// endpointStates are the states of the endpoint list for those of the health table.
+// endpointStates maps the states of the health table to those of the endpoint list.
 var endpointStates = map[health.State]balance.EndpointState{
 	health.InService:    balance.InService,
 	health.Draining:     balance.Draining,
--- a/internal/app/log.go
+++ b/internal/app/log.go
@@ -11,7 +11,7 @@
 func Logger(w io.Writer, format, level string) (*slog.Logger, error) {
 	var minLevel slog.Level
 	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
-		return nil, fmt.Errorf("log level %q: debug, info, warn or error", level)
+		return nil, fmt.Errorf("log level %q must be debug, info, warn or error", level)
 	}
 	options := &slog.HandlerOptions{Level: minLevel}
 	switch format {
@@ -20,5 +20,5 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(w, options)), nil
 	}
-	return nil, fmt.Errorf("log format %q: text or json", format)
+	return nil, fmt.Errorf("log format %q must be text or json", format)
 }
--- a/internal/app/maintenance.go
+++ b/internal/app/maintenance.go
@@ -15,41 +15,43 @@
 	"rooktrestle/internal/state/atomicfile"
 )
 
-// maintenanceSyncInterval is the time between two looks at what the other process of a replacement has written. With the
-// turn that applies it, well under the 250 ms in which work may still go to a server that was taken out.
+// maintenanceSyncInterval is the interval at which the shared file is read for changes by the other process during a
+// replacement. Together with the turn that applies a change it is well below 250 ms, the longest time for which a
+// detached server may still receive parts.
 const maintenanceSyncInterval = 50 * time.Millisecond
 
-// maintenanceStore keeps the operators' word on servers: in memory, and in a file that the processes that replace each
-// other share. What cannot be written holds all the same, and is written again until it can.
+// maintenanceStore stores which servers operators have detached: in memory, and in a file that the processes of one
+// instance share while one replaces another. A call takes effect even if the file cannot be written; writing is retried
+// until it succeeds.
 type maintenanceStore struct {
-	file     *atomicfile.ValueFile // nil: there is no folder to share
+	file     *atomicfile.ValueFile // nil: no state directory is configured
 	lockPath string
 	apply    func(server string, detached bool) // called with the lock held; it must not block
 	log      func(format string, args ...any)
 
-	mu        sync.Mutex
-	table     maintenance.Table
-	unwritten bool   // the file does not hold the table
-	failure   string // of the last look or write, once logged
+	mu            sync.Mutex
+	table         maintenance.Table
+	unsaved       bool   // the file lacks entries of the table
+	loggedFailure string // text of the last logged failure; empty: the last access succeeded
 }
 
-// newMaintenanceStore reads what an earlier process has left in a folder; empty: there is none. apply is told of each server
-// that is out of service, and of each change.
+// newMaintenanceStore loads the state that a previous process has written to a directory; an empty dir disables the
+// file. It calls apply for each detached server, and later for each change.
 func newMaintenanceStore(
-	folder, nodeName string, apply func(string, bool), log func(string, ...any),
+	dir, nodeName string, apply func(string, bool), log func(string, ...any),
 ) *maintenanceStore {
 	m := &maintenanceStore{apply: apply, log: log}
-	if folder == "" {
+	if dir == "" {
 		return m
 	}
-	path := filepath.Join(folder, "rooktrestle-"+fileNamePart(nodeName)+"-maintenance")
+	path := filepath.Join(dir, "rooktrestle-"+fileNamePart(nodeName)+"-maintenance")
 	m.file = atomicfile.New(atomicfile.OS{}, path)
 	m.lockPath = path + ".lock"
 	m.sync()
 	return m
 }
 
-// fileNamePart is a name as a part of a file's name.
+// fileNamePart replaces the characters of a name that are not safe in a file name.
 func fileNamePart(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '.' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' {
@@ -59,24 +61,24 @@
 	}, name)
 }
 
-// set takes an operator's call. Once it returns without an error the call holds, for this process and for the one that
-// replaces it.
+// set applies an operator's call. Once it returns without an error the call is in effect in this process, and is
+// written to the file for its replacement, now or as soon as that is possible.
 func (m *maintenanceStore) set(server string, detached bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.exchange() // the other process may have had a call on the server since
+	m.syncLocked() // the other process may have handled a call for the server since the last sync
 	changed, err := m.table.Set(server, detached)
 	if err != nil || !changed {
 		return err
 	}
 	m.apply(server, detached)
 	m.log("maintenance: %s detached=%v by an operator", server, detached)
-	m.unwritten = true
-	m.exchange()
+	m.unsaved = true
+	m.syncLocked()
 	return nil
 }
 
-// run looks for changes of the other process until stop is closed.
+// run syncs with the other process until stop is closed.
 func (m *maintenanceStore) run(stop <-chan struct{}) {
 	if m.file == nil {
 		return
@@ -93,41 +95,42 @@
 	}
 }
 
-// sync takes in what the file holds, and writes what it does not hold.
+// sync merges the file into the table, and writes the table if the file lacks entries of it.
 func (m *maintenanceStore) sync() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.exchange()
+	m.syncLocked()
 }
 
-// exchange is sync, called with the lock held.
-func (m *maintenanceStore) exchange() {
+// syncLocked is sync for callers that hold m.mu.
+func (m *maintenanceStore) syncLocked() {
 	if m.file == nil {
 		return
 	}
-	if !m.unwritten {
-		m.report(m.read())
+	if !m.unsaved {
+		m.logFailure(m.read())
 		return
 	}
 	release, err := lockFile(m.lockPath)
 	if err != nil {
-		m.report(err)
+		m.logFailure(err)
 		return
 	}
 	defer release()
-	// What is corrupt is written over: each process holds the whole table. What a newer program has written is not.
+	// A corrupt file is overwritten, as each process has the complete table in memory. A file of a newer program
+	// version is not.
 	if err := m.read(); errors.Is(err, maintenance.ErrUnsupported) {
-		m.report(err)
+		m.logFailure(err)
 		return
 	}
-	m.report(m.write())
+	m.logFailure(m.write())
 }
 
-// read merges the file into the table, and notes whether the file holds all of it.
+// read merges the file into the table, and sets m.unsaved if the file lacks entries.
 func (m *maintenanceStore) read() error {
 	text, err := m.file.Load()
 	if errors.Is(err, atomicfile.ErrNotExist) || errors.Is(err, atomicfile.ErrCorrupt) {
-		m.unwritten = len(m.table.Entries()) > 0
+		m.unsaved = len(m.table.Entries()) > 0
 	}
 	if errors.Is(err, atomicfile.ErrNotExist) {
 		return nil
@@ -143,30 +146,30 @@
 		m.apply(changed.Server, changed.Detached)
 		m.log("maintenance: %s detached=%v by another process", changed.Server, changed.Detached)
 	}
-	m.unwritten = !slices.Equal(m.table.Entries(), entries)
+	m.unsaved = !slices.Equal(m.table.Entries(), entries)
 	return nil
 }
 
-// write replaces the file by the table.
+// write replaces the file's content with the table.
 func (m *maintenanceStore) write() error {
 	text, err := maintenance.Encode(m.table.Entries())
 	if err == nil {
 		err = m.file.Store(text)
 	}
-	m.unwritten = err != nil
+	m.unsaved = err != nil
 	return err
 }
 
-// report logs a failure once, until another one comes or it is over.
-func (m *maintenanceStore) report(err error) {
+// logFailure logs a failure when it first occurs or its text changes, and logs recovery once.
+func (m *maintenanceStore) logFailure(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
-	if text == m.failure {
+	if text == m.loggedFailure {
 		return
 	}
-	m.failure = text
+	m.loggedFailure = text
 	if err != nil {
 		m.log("maintenance: what operators have said may be lost with this process: %v", err)
 	} else {
@@ -174,7 +177,7 @@
 	}
 }
 
-// lockFile locks a file against the other process. It does not wait: that process may be stopped.
+// lockFile acquires an exclusive lock on a file. It does not block: the process that holds the lock may be stopped.
 func lockFile(path string) (release func(), err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -184,5 +187,5 @@
 		_ = file.Close() // nothing was written
 		return nil, err
 	}
-	return func() { _ = file.Close() }, nil // which unlocks it
+	return func() { _ = file.Close() }, nil // closing releases the lock
 }
--- a/internal/app/operators.go
+++ b/internal/app/operators.go
@@ -13,10 +13,10 @@
 	"rooktrestle/internal/protocol/admin"
 )
 
-// adminTimeout is how long a call of an operator waits for the loop. An answer is due within a second.
+// adminTimeout is how long an operator's call waits for the loop. Operators expect an answer within a second.
 const adminTimeout = 800 * time.Millisecond
 
-// Reasons for which a call of an operator is not carried out.
+// Errors that reject an operator's call.
 var (
 	errNotReady      = errors.New("not ready")
 	errBusy          = errors.New("busy")
@@ -28,31 +28,32 @@
 	server      *platformServer
 	maintenance *maintenanceStore
 	listener    *adminfront.Server // nil: no control address is configured
-	ready       atomic.Bool        // the process serves clients
+	ready       atomic.Bool        // the process accepts queries
 	reloads     reloadCounters
-	classes     []string // that requests may name; for the loop only
+	classes     []string // that requests may name; used on the loop only
 }
 
-// reloadCounters count the configurations that SIGHUP brought.
+// reloadCounters counts configuration reloads by SIGHUP.
 type reloadCounters struct {
 	loaded  atomic.Uint64
 	invalid atomic.Uint64
 }
 
-// newOperators reads what operators have told an earlier process, and posts it to the loop.
+// newOperators loads the servers that operators detached in a previous process, and posts them to the loop.
 func newOperators(s *platformServer) *operators {
 	o := &operators{server: s, classes: s.node.Deployment.Classes}
-	folder := s.node.StateDir
+	dir := s.node.StateDir
 	if s.node.Control == "" {
-		folder = "" // nobody calls: nothing is to survive
+		dir = "" // no operator can call this process, so nothing is persisted or loaded
 	}
-	o.maintenance = newMaintenanceStore(folder, s.node.Name, func(server string, detached bool) {
+	o.maintenance = newMaintenanceStore(dir, s.node.Name, func(server string, detached bool) {
 		s.mailbox.Put(aggregator.MaintenanceChanged{Server: balance.Replica(server), Detached: detached})
 	}, logf)
 	return o
 }
 
-// listen opens the control address, where one is configured, and follows what the other process of a replacement is told.
+// listen opens the control address, if one is configured, and starts to sync with the process that replaces this one or
+// is replaced by it.
 func (o *operators) listen() (err error) {
 	address := o.server.node.Control
 	if address == "" {
@@ -66,14 +67,14 @@
 	return nil
 }
 
-// close ends the listener.
+// close closes the listener.
 func (o *operators) close() {
 	if o.listener != nil {
 		o.listener.Close()
 	}
 }
 
-// answer carries out a call. Several goroutines call it.
+// answer executes an operator's command and returns the response. It may be called concurrently.
 func (o *operators) answer(command admin.Command) string {
 	var err error
 	switch command.Verb {
@@ -97,7 +98,8 @@
 	return admin.Done()
 }
 
-// setMaintenance takes a server out of service, or puts it back. The loop has it once it returns without an error.
+// setMaintenance detaches or attaches a server. Once it returns without an error the change has been posted to the
+// loop.
 func (o *operators) setMaintenance(server string, detached bool) error {
 	listed := false
 	if err := o.onLoop(func() { listed = o.server.core.KnowsServer(balance.Replica(server)) }); err != nil {
@@ -109,7 +111,7 @@
 	return o.maintenance.set(server, detached)
 }
 
-// onLoop runs f on the loop. Where that takes too long f may run later, and what it writes is not read.
+// onLoop runs f on the loop. If it returns errBusy, f may still run later, and the caller must not read what f writes.
 func (o *operators) onLoop(f func()) error {
 	done := make(chan struct{})
 	o.server.mailbox.Put(aggregator.RunOnLoop(func() {
@@ -128,10 +130,10 @@
 	}
 }
 
-// figuresPrefix begins the name of each figure.
+// figuresPrefix is the prefix of every figure's name.
 const figuresPrefix = "mixer."
 
-// figures are the figures that operators read. It runs on the loop.
+// figures returns the counters and gauges that the INFO command reports. It runs on the loop.
 func (s *platformServer) figures() []admin.Figure {
 	var figures []admin.Figure
 	add := func(name string, value uint64) {
@@ -157,7 +159,8 @@
 	return figures
 }
 
-// classesToReport are the classes that requests may name, and those that any has been answered under.
+// classesToReport returns the classes that requests may name, and those with counters, which may be from before a
+// reload.
 func (s *platformServer) classesToReport() []string {
 	classes := slices.Clone(s.operators.classes)
 	for class := range s.core.Counters.ByClass {
--- a/internal/app/partnercounters.go
+++ b/internal/app/partnercounters.go
@@ -7,19 +7,19 @@
 	"rooktrestle/internal/aggregator"
 )
 
-// Counters returns the core's counters. It waits for the loop.
+// Counters returns the core's counters. It blocks until the loop has read them.
 func (p *PartnersDeployment) Counters() (counters aggregator.Counters) {
 	p.loop.Do(func() { counters = p.core.Counters })
 	return counters
 }
 
-// CountersText returns all counters as the text of GET /metrics. It waits for the loop.
+// CountersText returns all counters as the text of GET /metrics. It blocks until the loop has read them.
 func (p *PartnersDeployment) CountersText() (text string) {
 	p.loop.Do(func() { text = p.countersText() })
 	return text
 }
 
-// countersText runs on the loop, or after its end.
+// countersText formats all counters. It runs on the loop, or after the loop has ended.
 func (p *PartnersDeployment) countersText() string {
 	agentChecks, httpChecks, whileStalled := p.reporter.Counters()
 	checks := p.checks.Stats()
@@ -34,7 +34,7 @@
 	return text + p.shardMaps.counters()
 }
 
-// serversJSON is the body of GET /servers. It waits for the loop.
+// serversJSON returns the body of GET /servers. It blocks until the loop has read the health table.
 func (p *PartnersDeployment) serversJSON() []byte {
 	var reports []ServerHealth
 	p.loop.Do(func() {
@@ -44,7 +44,7 @@
 	})
 	text, err := json.MarshalIndent(reports, "", "  ")
 	if err != nil {
-		p.log.Error("servers not encoded", "err", err.Error()) // cannot happen: finite numbers and text only
+		p.log.Error("servers not encoded", "err", err.Error()) // unreachable: only finite numbers and text
 	}
 	return append(text, '\n')
 }
--- a/internal/app/partnerlisteners.go
+++ b/internal/app/partnerlisteners.go
@@ -15,10 +15,12 @@
 const (
 	associationInitTimeout = 10 * time.Second // from the connection to the Init request
 	associationIdleTimeout = 5 * time.Minute
-	resultSetsRecent       = time.Minute // an association that used its result sets since is not evicted for a new one
+	// resultSetsRecent is the time within which an association that has used its result sets is not evicted for a new
+	// one.
+	resultSetsRecent = time.Minute
 )
 
-// sruTimeouts are those of SRU's HTTP connections.
+// sruTimeouts are the timeouts of SRU's HTTP connections.
 var sruTimeouts = httpserve.Timeouts{
 	FirstRequest:   10 * time.Second,
 	Idle:           2 * time.Minute,
@@ -26,7 +28,7 @@
 	EvictableAfter: evictableAfter,
 }
 
-// healthTimeouts are those of the health listener's HTTP connections.
+// healthTimeouts are the timeouts of the health listener's HTTP connections.
 var healthTimeouts = httpserve.Timeouts{
 	FirstRequest:   2 * time.Second,
 	Idle:           time.Minute,
@@ -34,23 +36,23 @@
 	EvictableAfter: evictableAfter,
 }
 
-// agentAdmitTimeout is how long an agent-check that finds no socket waits for one. Agent-checks end by themselves: each is
-// answered at once, or after the time that it has to name a database, so that one behind a crowd is served all the same.
+// agentAdmitTimeout is how long an agent-check waits for a free socket. Waiting suffices, without eviction, as every
+// agent-check is short: it is answered at once, or after the time that it has to name a database.
 const agentAdmitTimeout = 500 * time.Millisecond
 
 // partnerListener is one listener of a deployment.
 type partnerListener struct {
 	protocol   string
-	addr       string // empty: not listened to
+	addr       string // empty: disabled
 	maxSockets int
 	evict      func() bool // closes a connection in favour of a new one; nil: never
-	// admitTimeout is how long a connection that finds no socket waits for one; 0: not at all.
+	// admitTimeout is how long a new connection waits for a free socket; 0: it is rejected at once.
 	admitTimeout time.Duration
 	accept       func(*tcp.Conn) tcp.Handler
 }
 
-// listen builds the frontends and opens their listeners. Each listener has sockets of its own and evicts connections of
-// its own, so that an overload of one of them does not affect the others.
+// listen builds the frontends and opens their listeners. Each listener has its own socket limit and evicts only its own
+// connections, so that an overload of one of them does not affect the others.
 func (p *PartnersDeployment) listen() error {
 	service := &gateway.Service{Config: p.conf, Post: p.mailbox.Put, Now: p.clock.Now}
 	p.sru = httpserve.New(sruTimeouts, p.clock.Now, (&srufront.Server{Service: service}).Handle)
@@ -117,7 +119,7 @@
 	}
 }
 
-// Addr is the address on which a protocol is served (sru, z3950, health or agent); empty: none.
+// Addr returns the listen address of a protocol (sru, z3950, health or agent); empty: it is disabled.
 func (p *PartnersDeployment) Addr(protocol string) string {
 	if listener := p.listeners[protocol]; listener != nil {
 		return listener.Addr()
--- a/internal/app/partners.go
+++ b/internal/app/partners.go
@@ -22,11 +22,11 @@
 	"rooktrestle/internal/net/tcp"
 )
 
-// drainTimeout is the longest time that a shutdown waits for clients to finish.
+// drainTimeout is the longest time that a shutdown waits for open queries and connections.
 const drainTimeout = 30 * time.Second
 
-// PartnersDeployment is a running aggregator behind SRU and Z39.50. Its methods may be called from any goroutine; Stop is
-// called once.
+// PartnersDeployment is a running aggregator that serves SRU and Z39.50. Its methods may be called from any goroutine;
+// Stop must be called once.
 type PartnersDeployment struct {
 	conf    *config.Partners
 	log     *slog.Logger
@@ -37,7 +37,7 @@
 	pool    *serialconn.Pool
 
 	healthTracker *healthTracker
-	shardMaps     *shardMaps // nil: each server's shards follow from its cell
+	shardMaps     *shardMaps // nil: each server's shards are determined by its cell
 	readiness     *readinessPublisher
 	reporter      *fronthealth.Responder // answers checks of the aggregator itself
 	checks        *background.Runner     // health checks of the servers
@@ -52,8 +52,8 @@
 	checksDone chan struct{}
 }
 
-// StartPartners builds a deployment from a checked configuration and starts it; the caller calls Stop. seed is that of
-// all its random draws.
+// StartPartners builds a deployment from a validated configuration and starts it; the caller must call Stop. seed seeds
+// all its random choices.
 func StartPartners(conf *config.Partners, seed uint64, log *slog.Logger) (*PartnersDeployment, error) {
 	p := &PartnersDeployment{
 		conf:       conf,
@@ -79,10 +79,10 @@
 	return p, nil
 }
 
-// buildLoop makes the core with its connections, server health and readiness, and the loop that drives them.
+// buildLoop creates the core with its connections, server health and readiness, and the loop that drives them.
 func (p *PartnersDeployment) buildLoop(settings balance.Settings) error {
 	newBalancer := func() (*balance.Balancer, error) { return balance.New(settings) }
-	decisions, err := newBalancer()
+	balancer, err := newBalancer()
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		MaxConnections: max(1, limits.Sockets/2-p.conf.Checks.MaxConcurrent),
 	}, p.mailbox, tcp.Dial, codecs(p.conf))
 	now := p.clock.Now()
-	p.core = aggregator.NewCore(decisions, p.pool, partnerLimits(p.conf, settings.Tick), now)
+	p.core = aggregator.NewCore(balancer, p.pool, partnerLimits(p.conf, settings.Tick), now)
 	p.pool.SetDirectory(p.core)
 	servers := endpoints(p.conf)
 	if p.healthTracker, err = newHealthTracker(p.conf, servers, now, p.mailbox, p.log); err != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// partnerLimits are the core's limits in an operator's file.
+// partnerLimits returns the core's limits from an operator's file.
 func partnerLimits(conf *config.Partners, tick time.Duration) aggregator.Limits {
 	limits := aggregator.Limits{MaxOpen: conf.Limits.MaxOpen, RetryAfter: time.Second, DeadlineMargin: 4 * tick}
 	for _, class := range conf.Classes {
@@ -135,7 +135,7 @@
 	return limits
 }
 
-// endpoints is the endpoint list of the operator's servers.
+// endpoints returns the operator's servers as an endpoint list.
 func endpoints(conf *config.Partners) (list []aggregator.Server) {
 	for _, server := range conf.Servers {
 		list = append(list, aggregator.Server{
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// checkJob returns the job that runs a check and posts its result. The runner never runs a job twice at a time.
+// checkJob returns the job that runs a check and posts its result. It needs no lock for previous, as the runner runs a
+// job at most once at a time.
 func (p *PartnersDeployment) checkJob(server health.ID, check serverCheck) background.Job {
 	previous := health.CheckResult{}
 	return func() (scheduler.Result, bool) {
@@ -227,8 +228,8 @@
 	}()
 }
 
-// Stop drains the deployment and ends it: readiness says at once that it drains, and queries are served as before for
-// the grace period; then open queries and connections finish, within drainTimeout, and all goroutines end.
+// Stop drains the deployment and stops it. Readiness reports draining at once, while queries are still accepted for the
+// grace period. Open queries and connections then have drainTimeout to complete, after which all goroutines end.
 func (p *PartnersDeployment) Stop(grace time.Duration) {
 	p.loop.Do(func() { p.readiness.startDraining(p.clock.Now()) })
 	time.Sleep(grace)
@@ -249,7 +250,7 @@
 	}
 }
 
-// drained says whether no query and no client's connection is open.
+// drained reports whether no query and no client connection is open.
 func (p *PartnersDeployment) drained() bool {
 	openQueries := 0
 	p.loop.Do(func() { openQueries = p.core.OpenQueries() })
--- a/internal/app/partners_test.go
+++ b/internal/app/partners_test.go
@@ -16,8 +16,8 @@
 	"rooktrestle/internal/config"
 )
 
-// partnersFile returns an operator's file of one server, with every listener. shards is the table that says which server
-// holds which shard, and database the database's key for it.
+// partnersFile returns an operator's file with one server and every listener. shards is the table that assigns shards
+// to servers, and database the corresponding key of the database.
 func partnersFile(serverAddr, shards, database string) string {
 	return fmt.Sprintf(`name = "test"
 [listen]
@@ -50,11 +50,11 @@
 
 const fixedShards = "[shards]\ncount = 1\ncells = 1\nreach = 1"
 
-// netpollPoller is the poller of the process's connections. The network library starts it with the first listener and
-// keeps it for the life of the process, whatever listens.
+// netpollPoller matches the goroutine that polls the process's connections. The network library starts it with the
+// first listener and never stops it.
 var netpollPoller = goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait")
 
-// A deployment that has served a request and begun a health check leaves no goroutine behind when it is stopped.
+// Stopping a deployment that has served a request and started a health check leaks no goroutine.
 func TestPartnersDeployment_Stop_LeavesNoGoroutine(t *testing.T) {
 	shardMap := "[blocks]\narchive = \"captions\"\nkeep = %q\n"
 	for _, c := range []struct{ name, shards, database string }{
@@ -72,7 +72,7 @@
 	}
 }
 
-// startAndStop runs a deployment until it has answered a request and begun a health check.
+// startAndStop runs a deployment until it has answered a request and started a health check, and stops it.
 func startAndStop(t *testing.T, path, shards, database string) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/app/platform.go
+++ b/internal/app/platform.go
@@ -28,30 +28,30 @@
 )
 
 const (
-	// shutdownGrace is how long requests are still accepted after SIGTERM, so that callers can take the process out of
+	// shutdownGrace is how long requests are still accepted after SIGTERM, so that clients can remove the process from
 	// their lists first.
 	shutdownGrace = 700 * time.Millisecond
-	// drainPollInterval is the time between two looks at whether a shutdown has drained.
+	// drainPollInterval is the interval at which a shutdown checks whether it has drained.
 	drainPollInterval = 50 * time.Millisecond
 	// discoveryTimeout is how long a start waits for discovery before it serves from its initial endpoint list.
 	discoveryTimeout = 3 * time.Second
 	// reservedSockets are set aside for the listener, discovery, pollers and standard streams.
 	reservedSockets = 32
-	// controlSockets are set aside for operators, their listener included, where they have an address to call.
+	// controlSockets are set aside for operators' calls and their listener, if a control address is configured.
 	controlSockets = adminfront.MaxConns + 4
 	// keepAliveDivisor: clients use at most a third of the sockets for requests, and half of that third may be idle
 	// keep-alive connections.
 	keepAliveDivisor = 6
-	// requestReadTimeout is the time to read a request. A client that starts one and does not finish it gets an error
-	// or a close.
+	// requestReadTimeout is the time to read a request. A client that does not complete its request in time receives an
+	// error, or its connection is closed.
 	requestReadTimeout = 2200 * time.Millisecond
 	// keepAliveTimeout is how long a connection may be idle between requests.
 	keepAliveTimeout = 15 * time.Second
-	// evictableAfter is the idle time from which a connection may be closed in favour of a new one.
+	// evictableAfter is the idle time after which a connection may be closed in favor of a new one.
 	evictableAfter = 2 * time.Second
 )
 
-// logf writes one timestamped log line of the platform's program to standard error.
+// logf writes one timestamped log line to standard error. ServePlatform logs with it.
 func logf(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, time.Now().UTC().Format("15:04:05.000")+" "+format+"\n", args...)
 }
@@ -59,8 +59,8 @@
 // ServePlatform serves the platform's protocol until SIGTERM or SIGINT. SIGHUP reloads the configuration and SIGUSR1
 // logs the counters.
 func ServePlatform() error {
-	// Signals are handled from the start: an unhandled SIGHUP would end the program, and a SIGTERM that arrives before
-	// the program serves must end it in the same orderly fashion as any other.
+	// Signals are handled from the start: an unhandled SIGHUP would kill the process, and a SIGTERM that arrives during
+	// startup must shut it down in the same order as a later one.
 	reloads, terminations := make(chan os.Signal, 1), make(chan os.Signal, 2)
 	signal.Notify(reloads, syscall.SIGHUP)
 	signal.Notify(terminations, syscall.SIGTERM, syscall.SIGINT)
@@ -84,25 +84,25 @@
 	return err
 }
 
-// platformServer is the aggregator behind the platform's protocol.
+// platformServer is an aggregator that serves the platform's protocol.
 type platformServer struct {
 	node     config.Node
 	clock    aggregator.SystemClock
 	mailbox  *aggregator.Mailbox
 	pool     *leaf.Pool
 	core     *aggregator.Core
-	gossip   *gossip.Transport // nil: the other instances are not reachable, or gossip is off
+	gossip   *gossip.Transport // nil: gossip is disabled or its socket could not be opened
 	watcher  *discovery.Watcher
 	loop     *aggregator.Loop
 	frontend *platform.Frontend
 	limiter  *tcp.ConnLimiter
-	listener *tcp.Server   // nil until clients are served
+	listener *tcp.Server   // nil until the process listens for clients
 	stop     chan struct{} // closed to end the loop and the watcher
 	loopDone chan struct{}
 
-	operators   *operators
-	generations *settings.Generations // of classes and tenants; for the loop only
-	decisions   balance.Settings      // as they are now; for the loop only
+	operators        *operators
+	generations      *settings.Generations // of classes and tenants; used on the loop only
+	balancerSettings balance.Settings      // current; used on the loop only
 }
 
 // newPlatformServer builds the server. It opens the gossip socket, which the caller closes, and nothing else.
@@ -113,12 +113,12 @@
 		return nil, err
 	}
 	s := &platformServer{
-		node:        node,
-		mailbox:     aggregator.NewMailbox(),
-		stop:        make(chan struct{}),
-		loopDone:    make(chan struct{}),
-		generations: settings.NewGenerations(node.Deployment),
-		decisions:   decisions,
+		node:             node,
+		mailbox:          aggregator.NewMailbox(),
+		stop:             make(chan struct{}),
+		loopDone:         make(chan struct{}),
+		generations:      settings.NewGenerations(node.Deployment),
+		balancerSettings: decisions,
 	}
 	s.pool = leaf.NewPool(leaf.Limits{
 		MaxStreams:        node.Deployment.StreamsPerConn,
@@ -130,7 +130,7 @@
 	}, s.mailbox, leaf.DialTCP)
 	s.core = aggregator.NewCore(balancer, s.pool, platformLimits(node.Deployment), s.clock.Now())
 	s.pool.SetDirectory(s.core)
-	s.operators = newOperators(s) // before the list: no turn may know a server and not that it is out of service
+	s.operators = newOperators(s) // before the endpoint list, so that no turn uses a detached server
 	s.openGossip()
 	if err := s.newWatcher(); err != nil {
 		s.closeGossip()
@@ -142,13 +142,13 @@
 		Adapter:     s.pool,
 		Clock:       s.clock,
 		Stop:        s.stop,
-		NewBalancer: func() (*balance.Balancer, error) { return balance.New(s.decisions) },
+		NewBalancer: func() (*balance.Balancer, error) { return balance.New(s.balancerSettings) },
 	}
 	s.newFrontend()
 	return s, nil
 }
 
-// platformLimits are the core's limits in the platform's configuration.
+// platformLimits returns the core's limits from the platform's configuration.
 func platformLimits(deployment settings.Deployment) aggregator.Limits {
 	limits := aggregator.Limits{
 		ClassNames:     deployment.Classes,
@@ -168,8 +168,8 @@
 	return limits
 }
 
-// openGossip connects the core to the other instances, where the configuration has them. An instance serves without
-// gossip, too: a failure is logged only.
+// openGossip connects the core to the other instances, if the configuration lists them. A failure is only logged, as an
+// instance can serve without gossip.
 func (s *platformServer) openGossip() {
 	decisions := s.node.Deployment.Decisions
 	if !decisions.PeerMessages || s.node.PeerListen == "" || s.node.PeerBroadcast == "" {
@@ -199,7 +199,7 @@
 	}
 }
 
-// newWatcher makes the discovery watcher and hands the initial endpoint list to the core.
+// newWatcher creates the discovery watcher and posts the initial endpoint list to the core.
 func (s *platformServer) newWatcher() error {
 	deployment := s.node.Deployment
 	s.watcher = &discovery.Watcher{
@@ -209,7 +209,8 @@
 		Log:    logf,
 		Random: rand.New(rand.NewPCG(s.node.Seed, 1)).Float64,
 	}
-	// Otherwise discovery is an agent on this machine, which answers at once and need not be spared.
+	// Without ListOnRequest discovery is an agent on this machine that answers at once, so its load need not be limited
+	// by the fleet size.
 	if deployment.Decisions.ListOnRequest {
 		s.watcher.FleetSize = deployment.Decisions.Instances
 	}
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// newFrontend makes the HTTP frontend and the limiter of its connections.
+// newFrontend creates the HTTP frontend and the limiter of its connections.
 func (s *platformServer) newFrontend() {
 	deployment := s.node.Deployment
 	s.frontend = platform.New(platform.Options{
@@ -255,7 +256,8 @@
 	}
 }
 
-// countersText is the text of GET /counters, and of the counters at exit. It runs on the loop.
+// countersText formats the counters for GET /counters and for the log at exit. It runs on the loop, or after the loop
+// has ended.
 func (s *platformServer) countersText() string {
 	stats := s.pool.Stats
 	text := fmt.Sprintf("%v; leaf connections: dialed %d, refused %d, broken %d, spoilt %d, late answers %d; "+
@@ -269,8 +271,9 @@
 	return text
 }
 
-// start opens the control address and starts the loop, which shutdown ends. It listens for clients, too, unless another
-// process of this instance does: this one takes its share of their connections once it can serve them.
+// start opens the control address and starts the loop, which shutdown stops. It also listens for clients, unless
+// another process of this instance already does: then this one starts to listen only when it is ready, so that it
+// accepts no connection that it cannot serve yet.
 func (s *platformServer) start() error {
 	if err := s.operators.listen(); err != nil {
 		return err
@@ -295,8 +298,8 @@
 	return nil
 }
 
-// becomeReady tells clients and operators that this process serves.
-func (s *platformServer) becomeReady() error {
+// markReady opens the listener if needed, and reports readiness to clients and operators.
+func (s *platformServer) markReady() error {
 	if s.listener == nil {
 		if err := s.listen(); err != nil {
 			return err
@@ -307,18 +310,18 @@
 	return nil
 }
 
-// serve serves until a termination signal, or an error. The process is ready once discovery has answered, or after
+// serve runs until a termination signal or an error. The process becomes ready when discovery has answered, or after
 // discoveryTimeout.
 func (s *platformServer) serve(reloads, terminations <-chan os.Signal) error {
 	discovered := make(chan struct{}, 1)
-	// Ends when stop is closed; the process does not wait for a call to discovery.
+	// It ends when stop is closed. Shutdown does not wait for it, as a call to discovery may take long.
 	go s.watcher.Run(s.stop, func() {
 		select {
 		case discovered <- struct{}{}:
 		default:
 		}
 	})
-	// Not waited for either: a reload may block on reading the file, and must not delay a shutdown.
+	// Shutdown does not wait for this goroutine either: a reload may block on reading the file.
 	go s.handleReloads(reloads)
 	counterRequests := make(chan os.Signal, 1)
 	signal.Notify(counterRequests, syscall.SIGUSR1)
@@ -326,11 +329,11 @@
 	for {
 		select {
 		case <-discovered:
-			if err := s.becomeReady(); err != nil {
+			if err := s.markReady(); err != nil {
 				return err
 			}
 		case <-timeout:
-			if err := s.becomeReady(); err != nil {
+			if err := s.markReady(); err != nil {
 				return err
 			}
 		case <-counterRequests:
@@ -341,14 +344,15 @@
 	}
 }
 
-// shutdown drains the server. Requests are served as before for shutdownGrace; then no connection is accepted, idle ones
-// end, and the others end after their answers. Each connection ends when its client has closed it, too, or after a
-// timeout, so that no answer is lost to the exit.
+// shutdown drains the server. Requests are still accepted for shutdownGrace. Then no connection is accepted, idle ones
+// are closed, and the others are closed after their answers. For each connection it waits until the client has closed
+// it, too, or until a timeout: an exit before that could reset the connection and lose an answer that the client has
+// not read.
 func (s *platformServer) shutdown() {
 	s.frontend.SetReady(false)
 	logf("shutting down")
 	if s.listener != nil && tcp.Listeners(s.listener.Addr()) > 1 {
-		s.leaveToSuccessor()
+		s.handOverListener()
 	}
 	time.Sleep(shutdownGrace)
 	s.limiter.StopAdmitting()
@@ -366,24 +370,24 @@
 	logf("%s", s.countersText())
 }
 
-// leaveToSuccessor lets the process that replaces this one have every new connection. Requests on the connections that this
-// one has are served as before, and each answer ends its connection.
-func (s *platformServer) leaveToSuccessor() {
+// handOverListener leaves all new connections to the process that replaces this one. Requests on existing connections
+// are still answered, and each connection is closed after its answer.
+func (s *platformServer) handOverListener() {
 	logf("another process listens on %s: it has the new connections", s.listener.Addr())
 	s.listener.StopAccepting()
 	s.frontend.EndKeepAlive()
 }
 
-// memoryLimit is the runtime's soft limit in bytes: three quarters of the process's memory.
+// memoryLimit returns the runtime's soft memory limit in bytes: three quarters of the process's memory.
 func memoryLimit(node config.Node) int64 { return int64(node.MemoryMB) << 20 * 3 / 4 }
 
-// shortestObjective is the shortest latency objective of the classes.
+// shortestObjective returns the shortest latency objective of the classes.
 func shortestObjective(classes []balance.Class) time.Duration {
 	byObjective := func(a, b balance.Class) int { return cmp.Compare(a.Objective, b.Objective) }
 	return slices.MinFunc(classes, byObjective).Objective
 }
 
-// maxTimeout is the longest time that a client may state. One that states more is answered sooner.
+// maxTimeout returns the longest timeout that a client can request; longer ones are reduced to it.
 func maxTimeout(classes []balance.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/app/readiness.go
+++ b/internal/app/readiness.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// readinessInterval is the time between two evaluations of the process's own readiness. It is short so that the
-	// report stays true within a second, as docs/health.md promises.
+	// readinessInterval is the interval between two evaluations of the process's own readiness. It is short because
+	// docs/health.md guarantees that a report is accurate within a second.
 	readinessInterval = 50 * time.Millisecond
-	// databaseRefreshInterval is how long the databases' snapshots are reused while no server's health changes.
+	// databaseRefreshInterval is how long the databases' snapshots are reused if no server's health changes.
 	databaseRefreshInterval = 500 * time.Millisecond
 )
 
@@ -31,9 +31,9 @@
 	due       time.Time        // of the next evaluation
 	memory    []metrics.Sample // total and released bytes
 
-	databases   []readiness.DatabaseSnapshot // reused between refreshes
-	databasesOf uint64                       // version of the server health that they show
-	databasesAt time.Time
+	databases          []readiness.DatabaseSnapshot // reused between refreshes
+	databasesVersion   uint64                       // healthTracker.version at the last refresh
+	databasesRefreshed time.Time
 }
 
 func newReadinessPublisher(
@@ -52,7 +52,7 @@
 	}
 }
 
-// Handle accepts no message: readiness has a timer only.
+// Handle accepts no message: readiness is driven by a timer only.
 func (*readinessPublisher) Handle(time.Time, aggregator.Message) ([]aggregator.Event, bool) {
 	return nil, false
 }
@@ -67,7 +67,7 @@
 	return nil, p.due
 }
 
-// startDraining publishes at once, and from now on, that queries should go to other instances.
+// startDraining publishes at once that the process is draining, so that clients use other instances.
 func (p *readinessPublisher) startDraining(now time.Time) {
 	p.draining = true
 	p.publish(now)
@@ -93,16 +93,16 @@
 	p.publisher.Set(p.evaluator.Evaluate(now, snapshot))
 }
 
-// refreshDatabases takes the databases' snapshots anew after a change, and now and then: walking all shards costs more
-// than everything else in an evaluation.
+// refreshDatabases rebuilds the databases' snapshots after a change of health, and otherwise every
+// databaseRefreshInterval: iterating over all shards costs more than everything else in an evaluation.
 func (p *readinessPublisher) refreshDatabases(now time.Time) {
-	unchanged := p.databases != nil && p.databasesOf == p.health.version
-	if unchanged && now.Sub(p.databasesAt) < databaseRefreshInterval {
+	unchanged := p.databases != nil && p.databasesVersion == p.health.version
+	if unchanged && now.Sub(p.databasesRefreshed) < databaseRefreshInterval {
 		return
 	}
 	p.databases = nil
-	p.databasesOf = p.health.version
-	p.databasesAt = now
+	p.databasesVersion = p.health.version
+	p.databasesRefreshed = now
 	for _, database := range p.conf.Databases {
 		p.databases = append(p.databases, p.snapshotOf(database))
 	}
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -24,12 +24,12 @@
 	}
 }
 
-// reload reads the configuration again and applies what can change in a running process, all of it or nothing. After an
-// error the former configuration stays in force.
+// reload reads the configuration again and applies the changes that a running process supports, all of them or none.
+// After an error the previous configuration stays in effect.
 func (s *platformServer) reload(node config.Node) config.Node {
 	next, restartNeeded, err := node.Reload(os.Getenv)
 	if err == nil {
-		err = s.adopt(next.Deployment)
+		err = s.applySettings(next.Deployment)
 	}
 	if err != nil {
 		s.operators.reloads.invalid.Add(1)
@@ -49,10 +49,10 @@
 	return next
 }
 
-// adopt goes on with the classes, tenants and limits of other settings. It returns once requests are read by them.
-func (s *platformServer) adopt(next settings.Deployment) error {
+// applySettings applies new classes, tenants and limits. When it returns, new requests are parsed with them.
+func (s *platformServer) applySettings(next settings.Deployment) error {
 	result := make(chan error, 1)
-	s.mailbox.Put(aggregator.RunOnLoop(func() { result <- s.adoptOnLoop(next) }))
+	s.mailbox.Put(aggregator.RunOnLoop(func() { result <- s.applySettingsOnLoop(next) }))
 	select {
 	case err := <-result:
 		return err
@@ -61,14 +61,14 @@
 	}
 }
 
-func (s *platformServer) adoptOnLoop(next settings.Deployment) error {
+func (s *platformServer) applySettingsOnLoop(next settings.Deployment) error {
 	now := s.clock.Now()
 	change := s.generations.Adopt(now, next, s.core.ClassInUse)
 	merged := change.Deployment
 	if err := s.core.Reconfigure(merged.Decisions, platformLimits(merged), change.Fresh); err != nil {
 		return err
 	}
-	s.decisions = merged.Decisions
+	s.balancerSettings = merged.Decisions
 	s.frontend.SetVocabulary(platform.Vocabulary{
 		Classes:    change.Classes,
 		Tenants:    change.Tenants,
--- a/internal/app/servepartners.go
+++ b/internal/app/servepartners.go
@@ -12,11 +12,11 @@
 	"rooktrestle/internal/config"
 )
 
-// ServePartners serves an operator's file over SRU and Z39.50 until SIGTERM or SIGINT. SIGUSR1 logs the counters. SIGHUP
-// polls the shard map's source and checks the file, whose changes wait for the next start.
+// ServePartners serves SRU and Z39.50 as an operator's file configures until SIGTERM or SIGINT. SIGUSR1 logs the
+// counters. SIGHUP polls the shard map's source and validates the file, whose changes take effect at the next start.
 func ServePartners(path string, log *slog.Logger) error {
 	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // from the start: an unhandled SIGHUP would end the program
+	signal.Notify(reloads, syscall.SIGHUP) // from the start: an unhandled SIGHUP would kill the process
 	conf, err := config.LoadPartners(path)
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// reload polls the shard map's source and reports whether the operator's file could be served.
+// reload polls the shard map's source and logs whether the operator's file is valid.
 func (p *PartnersDeployment) reload(path string) {
 	if p.shardMaps != nil {
 		p.shardMaps.requestPoll()
--- a/internal/app/shardmaps.go
+++ b/internal/app/shardmaps.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// mapRetryDelay is the time from an answer without a newer map to the next request, where the source may be behind.
+	// mapRetryDelay is the delay before the next request after an answer without a newer map, if the source may lag
+	// behind the servers.
 	mapRetryDelay = 50 * time.Millisecond
 	// mapMinInterval and mapMaxInterval bound the backoff between requests to an HTTP source.
 	mapMinInterval = 50 * time.Millisecond
 	mapMaxInterval = 5 * time.Second
 )
 
-// shardMaps brings shard maps from their source to the core, and persists the last adopted one. Its goroutines run from
+// shardMaps passes shard maps from their source to the core, and persists the last adopted one. Its goroutines run from
 // start until the stop channel is closed; wait waits for them.
 type shardMaps struct {
 	conf    *config.Partners
-	views   *shardmap.Views // on the loop
-	health  *healthTracker  // on the loop
+	views   *shardmap.Views // used on the loop only
+	health  *healthTracker  // used on the loop only
 	mailbox aggregator.Poster
 	log     *slog.Logger
 
-	poll           chan struct{} // has the source polled at once
+	poll           chan struct{} // triggers a poll of the source at once
 	adoptedEpoch   atomic.Uint64
 	current        atomic.Pointer[shardmap.Map] // the adopted map
-	toPersist      chan *shardmap.Map           // holds the newest map that is not persisted yet
+	toPersist      chan *shardmap.Map           // at most the newest map that is not persisted yet
 	persistedEpoch atomic.Uint64
 	running        sync.WaitGroup
 }
@@ -59,7 +60,7 @@
 	}, nil
 }
 
-// resharding is the core's side of the maps. Its functions are called on the loop and do not block.
+// resharding returns the core's interface to the maps. Its functions are called on the loop and do not block.
 func (m *shardMaps) resharding() *aggregator.Resharding {
 	return &aggregator.Resharding{
 		Views:          m.views,
@@ -72,7 +73,7 @@
 	}
 }
 
-// requestPoll has the source polled at once. It does not block.
+// requestPoll triggers a poll of the source at once. It does not block.
 func (m *shardMaps) requestPoll() {
 	select {
 	case m.poll <- struct{}{}:
@@ -80,7 +81,7 @@
 	}
 }
 
-// adopted takes a map that the core has adopted; old is nil for the first one. It runs on the loop.
+// adopted handles the adoption of a map by the core; old is nil for the first one. It runs on the loop.
 func (m *shardMaps) adopted(old, adopted *shardmap.Map) {
 	m.adoptedEpoch.Store(uint64(adopted.Epoch))
 	m.current.Store(adopted)
@@ -151,20 +152,21 @@
 	m.mailbox.Put(offered)
 }
 
-// parse reads a map of the configured archive. The result shares its unchanged shards with the current map, so that the
-// loop looks at changes only.
+// parse parses a map of the configured archive. The result shares unchanged shards with the current map, so that the
+// loop compares only shards that changed.
 func (m *shardMaps) parse(text []byte) (*shardmap.Map, error) {
 	parsed, err := shardmap.Parse(text)
 	if err != nil {
 		return nil, err
 	}
 	if parsed.Archive != m.conf.ShardMap.Archive {
-		return nil, fmt.Errorf("%w: %q, and not %q", shardmap.ErrOtherArchive, parsed.Archive, m.conf.ShardMap.Archive)
+		return nil, fmt.Errorf("%w: %q, want %q", shardmap.ErrOtherArchive, parsed.Archive, m.conf.ShardMap.Archive)
 	}
 	return parsed.ShareWith(m.current.Load()), nil
 }
 
-// offerPersisted offers the persisted map before any source has answered. An older map from a source is rejected then.
+// offerPersisted offers the persisted map before the source has answered, so that an older map from the source is
+// rejected.
 func (m *shardMaps) offerPersisted(file *atomicfile.ValueFile) {
 	text, err := file.Load()
 	if errors.Is(err, atomicfile.ErrNotExist) {
@@ -177,8 +179,8 @@
 	m.offer(shardmapsource.Update{Source: "kept " + m.conf.ShardMap.CachePath, Text: text})
 }
 
-// persist stores adopted maps until stop is closed; one that a newer map has replaced in the meantime is skipped. A slow
-// or full disk delays nothing else.
+// persist writes adopted maps to disk until stop is closed, skipping those that a newer map has replaced in the
+// meantime. It has a goroutine of its own, so that a slow or full disk delays nothing else.
 func (m *shardMaps) persist(file *atomicfile.ValueFile, stop <-chan struct{}) {
 	for {
 		select {
@@ -194,7 +196,7 @@
 	}
 }
 
-// counters is the maps' part of the counters' text, empty without maps (nil). It runs on the loop, or after its end.
+// counters formats the shard map counters; empty if m is nil. It runs on the loop, or after the loop has ended.
 func (m *shardMaps) counters() string {
 	if m == nil {
 		return ""
