--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"rooktrestle/balance"
 )
 
-// The example of the deploy directory is valid, and so are the settings that follow from it.
+// The example in the deploy directory is valid, and the balancer accepts the settings derived from it.
 func TestLoadPartners_Example(t *testing.T) {
 	p, err := LoadPartners("../../deploy/partners.toml")
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// writeFile writes a file of the test's own directory and returns its path.
+// writeFile writes a file to a temporary directory of the test and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -39,24 +39,22 @@
 	return path
 }
 
-// An invalidEdit makes a valid file invalid.
+// invalidEdit is a replacement of text that makes a valid file invalid.
 type invalidEdit struct {
-	old, new string
-	want     string // in the error
-	// The problem's line, relative to that of the edit; or of some line of the file, where the edited key is missing
-	// then, or where several keys contradict each other.
-	lineOffset int
-	someLine   bool
+	old, new   string
+	want       string // in the error
+	lineOffset int    // of the problem's line, from the line of the edit
+	someLine   bool   // any line is accepted, as the edit removes the key or makes several keys contradict each other
 }
 
-// Each invalid file is rejected with the line and the reason, all on one line of text.
+// Each invalid file is rejected with the line number and the reason, as a single line of text.
 func TestLoadPartners_InvalidFile_NamesLineAndReason(t *testing.T) {
 	valid, err := os.ReadFile("../../deploy/partners.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, edit := range []invalidEdit{
-		// A correction must not be of a class that may run twice.
+		// A correction requires a non-idempotent class.
 		{old: `unsafe = true`, new: ``, want: "not unsafe", someLine: true},
 		{old: `shards = [0, 1, 2, 3]`, new: `shards = [0, 9]`, want: "shard 9"},
 		{old: `shards = [0, 1, 2, 3]`, new: `shards = [0, 0]`, want: "shard 0"},
@@ -74,11 +72,11 @@
 		{old: `floor = 0.5`, new: `floor = 1.5`, want: "floor"},
 		{old: `sru = "127.0.0.1:8210"`, new: `sru = "8210"`, want: "host:port"},
 		{old: `addr = "127.0.0.1:9001"`, new: `addr = "nowhere"`, want: "host:port"},
-		{old: `sru = 200`, new: `sru = 2000`, want: "shares come to", someLine: true},
+		{old: `sru = 200`, new: `sru = 2000`, want: "in total", someLine: true},
 		{old: `agent_wait = "50ms"`, new: `agent_wait = "5s"`, want: "at most 1s"},
 		{old: `at_once = 64`, new: `at_once = 1`, want: "checks.at_once must be at least 2"},
 		{old: `at_once = 64`, new: `at_once = 600`, want: "a quarter"},
-		{old: `per_second = 200`, new: `per_second = 1`, want: "come to"},
+		{old: `per_second = 200`, new: `per_second = 1`, want: "starts per second"},
 		{old: `jitter = 0.1`, new: `jitter = 0.9`, want: "jitter"},
 		{old: `kind = "http"`, new: `kind = "gopher"`, want: `kind "gopher"`},
 		{old: `path = "/healthz"`, new: `path = "healthz"`, want: "begin with /"},
@@ -88,12 +86,12 @@
 		{old: `slow = "5s"`, new: `slow = "1s"`, want: "shorter than every"},
 		{old: `fast = "250ms"`, new: `fast = "1h"`, want: "longer than every"},
 		{old: `timeout = "500ms"`, new: `timeout = "2m"`, want: "at most 1m"},
-		{old: `valid = "15s"`, new: `valid = "1s"`, want: "would end before the next"},
+		{old: `valid = "15s"`, new: `valid = "1s"`, want: "until the next result"},
 		{old: `silence = "ignore"`, new: `silence = "loud"`, want: "ignore or down"},
 		{old: `kind = "z3950"`, new: `kind = "grpc"`, want: "grpc_bridge"},
-		{old: `checks = ["init"]`, new: `checks = ["inti"]`, want: `"inti" is not there`},
-		{old: `checks = ["init"]`, new: `checks = ["init", "init"]`, want: "stands twice", someLine: true},
-		{old: `name = "init"`, new: `name = "http-node"`, want: "stands twice", someLine: true},
+		{old: `checks = ["init"]`, new: `checks = ["inti"]`, want: `"inti" is not defined`},
+		{old: `checks = ["init"]`, new: `checks = ["init", "init"]`, want: "listed twice", someLine: true},
+		{old: `name = "init"`, new: `name = "http-node"`, want: "used twice", someLine: true},
 		{old: `panic = 0.5`, new: `panic = 1.5`, want: "panic", lineOffset: -1},
 		{old: `eject_most = 0.5`, new: `eject_most = 1.0`, want: "a block keeps a holder", someLine: true},
 	} {
@@ -122,7 +120,7 @@
 	t.Errorf("%v, want line %d", err, line)
 }
 
-// The same for a file with a shard map.
+// Each invalid source of a shard map is rejected with the line number and the reason.
 func TestLoadPartners_InvalidShardMapSource_NamesLineAndReason(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/blocks.toml")
 	if err != nil {
@@ -142,7 +140,7 @@
 		{old: `pinned_for = "9.5s" `, new: `pinned_for = "2s" #`, want: "shorter than the longest deadline"},
 		{old: `wait = "10s" `, new: `wait = "10m" #`, want: "at most 1m"},
 		{old: `cold_from = 0.28 `, new: `cold_from = 1.5 #`, want: "cold_from"},
-		{old: `name = "captions" `, new: `name = "captions"` + "\nshards = [0] #", want: "names no shards"},
+		{old: `name = "captions" `, new: `name = "captions"` + "\nshards = [0] #", want: "shards must not be set"},
 		{old: `[blocks]`, new: "[shards]\ncount = 1\ncells = 1\nreach = 1\n[blocks]", want: "only one of them"},
 	} {
 		t.Run(edit.old+" becomes "+edit.new, func(t *testing.T) {
@@ -158,7 +156,7 @@
 	}
 }
 
-// The problems of a file are all reported, in the order of its lines.
+// All problems of a file are reported, in the order of its lines.
 func TestLoadPartners_SeveralProblems_InOrderOfLines(t *testing.T) {
 	path := writeFile(t, "[listen]\nsru = \"x\"\n[shards]\ncount = 0\ncells = 1\nreach = 1\n[[server]]\nid = \"a\"\n")
 	_, err := LoadPartners(path)
@@ -178,7 +176,8 @@
 	}
 }
 
-// A server's own keys imply checks; a server without a check of its reachability gets one of the connection.
+// The keys agent and health of a server imply checks, and a server without a check of its reachability receives one of
+// its connection.
 func TestLoadPartners_ImpliedChecks(t *testing.T) {
 	p, err := LoadPartners("../../deploy/partners.toml")
 	if err != nil {
@@ -229,7 +228,7 @@
 	if d.ConnIdle != 15*time.Second || d.Decisions.MaxCallParts != 3 {
 		t.Errorf("%+v", d)
 	}
-	// Clients get Retry-After though the simulator would not forward it.
+	// Clients receive Retry-After even if retry_after is false, which only says that the simulator does not forward it.
 	if d.Decisions.MaxRetryAfter != time.Second {
 		t.Errorf("Retry-After of at most %v", d.Decisions.MaxRetryAfter)
 	}
--- a/internal/config/healthchecks.go
+++ b/internal/config/healthchecks.go
@@ -20,25 +20,25 @@
 
 // Values of CheckProfile.NoResult.
 const (
-	noResultIgnored = "ignore" // a check without a result says nothing
-	noResultDown    = "down"   // it counts as failed
+	noResultIgnored = "ignore" // a check without a result is ignored
+	noResultDown    = "down"   // a check without a result counts as failed
 )
 
-// Checks are the defaults of all health checks, and their budget.
+// Checks has the defaults of all health checks, and their budget.
 type Checks struct {
 	Interval Duration `toml:"every"`
 	Timeout  Duration `toml:"timeout"`
-	Fall     int      `toml:"fall"` // consecutive failed checks that take a server down
-	Rise     int      `toml:"rise"` // consecutive successful ones that bring it back
+	Fall     int      `toml:"fall"` // consecutive failed checks after which a server is down
+	Rise     int      `toml:"rise"` // consecutive successful checks after which it is up again
 
 	MaxStartsPerSecond float64 `toml:"per_second"`
 	MaxConcurrent      int     `toml:"at_once"`
-	Jitter             float64 `toml:"jitter"`      // fraction of an interval by which a check may be early or late
+	Jitter             float64 `toml:"jitter"`      // fraction of an interval by which a check may be early or delayed
 	GRPCBridge         string  `toml:"grpc_bridge"` // address of grpchealth's HTTP side
 }
 
-// CheckProfile is one kind of check with its parameters. What is not set is taken from Checks. A check connects to Addr;
-// without it, to Port of the server's host; without both, to the server's own address.
+// CheckProfile is one kind of check with its parameters. Parameters that are not set default to those of Checks. A
+// check connects to Addr if set, else to Port of the server's host if set, else to the server's own address.
 type CheckProfile struct {
 	Name         string   `toml:"name"`
 	Kind         string   `toml:"kind"`
@@ -49,17 +49,17 @@
 	Host         string   `toml:"host"`
 	ExpectStatus string   `toml:"expect"`   // statuses of a healthy server, as "200-299,304"
 	DrainStatus  string   `toml:"drain"`    // statuses of a draining one; "none": no status
-	BodyContains string   `toml:"body"`     // text that the body of a healthy answer contains
-	BodyMatches  string   `toml:"match"`    // regular expression that it matches
-	Send         string   `toml:"send"`     // agent: a string sent first
-	Database     string   `toml:"database"` // sru: whose explain is requested
-	Service      string   `toml:"service"`  // grpc
+	BodyContains string   `toml:"body"`     // text that the body of a healthy response contains
+	BodyMatches  string   `toml:"match"`    // regular expression that the body of a healthy response matches
+	Send         string   `toml:"send"`     // agent: text sent after connecting
+	Database     string   `toml:"database"` // sru: the database whose explain is requested
+	Service      string   `toml:"service"`  // grpc: name of the service to check
 	Interval     Duration `toml:"every"`
-	FastInterval Duration `toml:"fast"`     // after a change,
-	FastChecks   int      `toml:"fast_for"` // for so many checks
-	DownInterval Duration `toml:"slow"`     // while the server is down
+	FastInterval Duration `toml:"fast"`     // interval after a change of the result
+	FastChecks   int      `toml:"fast_for"` // number of checks at FastInterval
+	DownInterval Duration `toml:"slow"`     // interval while the server is down
 	Timeout      Duration `toml:"timeout"`
-	ResultTTL    Duration `toml:"valid"` // how long a result counts
+	ResultTTL    Duration `toml:"valid"` // how long a result is valid
 	Fall         int      `toml:"fall"`
 	Rise         int      `toml:"rise"`
 	NoResult     string   `toml:"silence"` // what a check without a result counts as: "down" or "ignore"
@@ -67,7 +67,7 @@
 	Expectation httpcheck.Expect `toml:"-"` // compiled from ExpectStatus, DrainStatus, BodyContains and BodyMatches
 }
 
-// AddrFor is the address at which a server is checked.
+// AddrFor returns the address at which a server is checked.
 func (f *CheckProfile) AddrFor(server Server) string {
 	switch {
 	case f.Addr != "":
@@ -75,7 +75,7 @@
 	case f.Port > 0:
 		host, _, err := net.SplitHostPort(server.Addr)
 		if err != nil {
-			host = "" // not of a validated file
+			host = "" // impossible in a validated file
 		}
 		return net.JoinHostPort(host, strconv.Itoa(f.Port))
 	}
@@ -110,9 +110,9 @@
 	}
 }
 
-// addImpliedChecks adds the checks that a server's keys agent and health stand for, and a check of the connection where
-// no other check would notice that the server is reachable: a server that requests have found unreachable could not
-// come back then.
+// addImpliedChecks adds the checks that a server's keys agent and health imply. If no check tests whether the server is
+// reachable, it adds a check of the connection: otherwise a server that requests have found unreachable would never be
+// used again.
 func (p *Partners) addImpliedChecks(server *Server) {
 	if server.Agent != "" {
 		implied := p.impliedProfile(CheckProfile{Name: "agent " + server.Agent, Kind: CheckAgent, Addr: server.Agent})
@@ -133,7 +133,7 @@
 	}
 }
 
-// impliedProfile adds a profile, unless there is one of its name, and returns the name.
+// impliedProfile adds a profile unless one of the same name exists, and returns the name.
 func (p *Partners) impliedProfile(profile CheckProfile) string {
 	if p.CheckProfile(profile.Name) == nil {
 		p.CheckProfiles = append(p.CheckProfiles, profile)
--- a/internal/config/healthcheckvalidate.go
+++ b/internal/config/healthcheckvalidate.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	minCheckTime    = 10 * time.Millisecond // of an interval or a timeout
+	minCheckTime    = 10 * time.Millisecond // minimum of intervals and timeouts
 	maxCheckTimeout = time.Minute
 	maxPort         = 65535
 )
 
-// checkKinds are all kinds of check.
+// checkKinds lists all kinds of check.
 var checkKinds = []string{CheckAgent, CheckHTTP, CheckTCP, CheckZ3950, CheckSRU, CheckGRPC}
 
 func (p *Partners) validateChecks(problems *validator) {
@@ -25,7 +25,7 @@
 	problems.requireMin("checks.fall", checks.Fall, 1)
 	problems.requireMin("checks.rise", checks.Rise, 1)
 	problems.requireMin("checks.at_once", checks.MaxConcurrent, 2)
-	if !(checks.MaxStartsPerSecond > 0 && checks.MaxStartsPerSecond <= 1e6) { // written so that NaN is a problem, too
+	if !(checks.MaxStartsPerSecond > 0 && checks.MaxStartsPerSecond <= 1e6) { // negated so that NaN is rejected, too
 		problems.addf("checks.per_second", "checks.per_second must be over 0 and at most 1000000, not %v",
 			checks.MaxStartsPerSecond)
 	}
@@ -33,22 +33,22 @@
 		problems.addf("checks.jitter", "checks.jitter must be 0 to 0.5, not %v", checks.Jitter)
 	}
 	if checks.MaxConcurrent > p.Limits.Sockets/4 {
-		problems.addf("checks.at_once", "checks.at_once %d is over a quarter of limits.sockets %d",
+		problems.addf("checks.at_once", "checks.at_once %d must be at most a quarter of limits.sockets %d",
 			checks.MaxConcurrent, p.Limits.Sockets)
 	}
 	for i := range p.CheckProfiles {
 		profile := &p.CheckProfiles[i]
 		path := fmt.Sprintf("check.%d", i)
 		if profile.Name == "" || p.CheckProfile(profile.Name) != profile {
-			problems.addf(path, "check %q has no name, or stands twice", profile.Name)
+			problems.addf(path, "check %q: the name is missing or used twice", profile.Name)
 		}
 		p.validateCheckProfile(problems, profile, path)
 	}
 	p.validateServerChecks(problems)
 }
 
-// validateServerChecks checks the servers' lists of checks, and that the checks of all servers fit their budget: a fleet
-// over the budget would have all checks late all the time.
+// validateServerChecks validates the servers' lists of checks, and that the checks of all servers fit into the budget:
+// over budget, all checks would always be delayed.
 func (p *Partners) validateServerChecks(problems *validator) {
 	startsPerSecond := 0.0
 	for i, server := range p.Servers {
@@ -57,10 +57,10 @@
 			profile := p.CheckProfile(name)
 			switch {
 			case profile == nil:
-				problems.addf(path, "server %q: check %q is not there", server.ID, name)
+				problems.addf(path, "server %q: check %q is not defined", server.ID, name)
 				continue
 			case slices.Contains(server.Checks[:j], name):
-				problems.addf(path, "server %q: check %q stands twice", server.ID, name)
+				problems.addf(path, "server %q: check %q is listed twice", server.ID, name)
 			}
 			if profile.Interval.Duration > 0 {
 				startsPerSecond += 1 / profile.Interval.Seconds()
@@ -68,15 +68,16 @@
 		}
 	}
 	if startsPerSecond > p.Checks.MaxStartsPerSecond {
-		problems.addf("checks.per_second", "the servers' checks come to %.0f a second, over checks.per_second %v",
+		problems.addf("checks.per_second",
+			"the servers' checks need %.0f starts per second, more than checks.per_second %v",
 			startsPerSecond, p.Checks.MaxStartsPerSecond)
 	}
 }
 
-// validateCheckProfile checks the profile at a path and compiles its expectation.
+// validateCheckProfile validates the profile at a path and compiles its expectation.
 func (p *Partners) validateCheckProfile(problems *validator, profile *CheckProfile, path string) {
 	if !slices.Contains(checkKinds, profile.Kind) {
-		problems.addf(path+".kind", "check %q: kind %q is none of agent, http, tcp, z3950, sru, grpc",
+		problems.addf(path+".kind", "check %q: kind %q must be one of agent, http, tcp, z3950, sru, grpc",
 			profile.Name, profile.Kind)
 	}
 	profile.validateTimes(problems, path)
@@ -84,12 +85,13 @@
 	problems.requireMin(path+".rise", profile.Rise, 1)
 	profile.validateTarget(problems, path)
 	if profile.NoResult != noResultIgnored && profile.NoResult != noResultDown {
-		problems.addf(path+".silence", "check %q: silence is ignore or down, not %q",
+		problems.addf(path+".silence", "check %q: silence must be ignore or down, not %q",
 			profile.Name, profile.NoResult)
 	}
 	profile.validateRequest(problems, path)
 	if profile.Kind == CheckGRPC && p.Checks.GRPCBridge == "" {
-		problems.addf(path+".kind", "check %q: a grpc check needs checks.grpc_bridge, where grpchealth listens",
+		problems.addf(path+".kind",
+			"check %q: kind grpc requires checks.grpc_bridge, the address of grpchealth --bridge",
 			profile.Name)
 	}
 	profile.compileExpectation(problems, path)
@@ -106,11 +108,11 @@
 		}
 	}
 	if f.FastInterval.Duration > f.Interval.Duration {
-		problems.addf(path+".fast", "check %q: fast %v is longer than every %v",
+		problems.addf(path+".fast", "check %q: fast %v must not be longer than every %v",
 			f.Name, f.FastInterval.Duration, f.Interval.Duration)
 	}
 	if f.DownInterval.Duration < f.Interval.Duration {
-		problems.addf(path+".slow", "check %q: slow %v is shorter than every %v",
+		problems.addf(path+".slow", "check %q: slow %v must not be shorter than every %v",
 			f.Name, f.DownInterval.Duration, f.Interval.Duration)
 	}
 	if f.Timeout.Duration > maxCheckTimeout {
@@ -118,14 +120,15 @@
 			f.Name, f.Timeout.Duration)
 	}
 	if nextResult := f.DownInterval.Duration + f.Timeout.Duration; f.ResultTTL.Duration < nextResult {
-		problems.addf(path+".valid", "check %q: a result that is valid for %v would end before the next, after up to %v",
+		problems.addf(path+".valid", "check %q: valid %v is shorter than the time until the next result, up to %v",
 			f.Name, f.ResultTTL.Duration, nextResult)
 	}
 }
 
 func (f *CheckProfile) validateTarget(problems *validator, path string) {
 	if f.Port < 0 || f.Port > maxPort || f.Port > 0 && f.Addr != "" {
-		problems.addf(path+".port", "check %q: port is 1 to 65535, and not beside addr", f.Name)
+		problems.addf(path+".port", "check %q: port %d must be 1 to 65535, and must not be set together with addr",
+			f.Name, f.Port)
 	}
 	if f.Addr == "" {
 		return
@@ -138,11 +141,11 @@
 func (f *CheckProfile) validateRequest(problems *validator, path string) {
 	if strings.ContainsAny(f.Path+f.Host+f.Method, " \r\n") || f.Path != "" && f.Path[0] != '/' {
 		problems.addf(path+".path",
-			"check %q: path %q, host %q and method %q must be without spaces, and the path begin with /",
+			"check %q: path %q, host %q and method %q must have no spaces or line breaks, and path must begin with /",
 			f.Name, f.Path, f.Host, f.Method)
 	}
 	if f.Send != "" && f.Kind != CheckAgent {
-		problems.addf(path+".send", "check %q: only an agent is sent something", f.Name)
+		problems.addf(path+".send", "check %q: send is allowed for kind agent only, not %q", f.Name, f.Kind)
 	}
 }
 
--- a/internal/config/healthrules.go
+++ b/internal/config/healthrules.go
@@ -6,8 +6,8 @@
 	"rooktrestle/internal/control/health"
 )
 
-// HealthRules are the parameters by which evidence on servers is merged, as docs/health.md explains them. Zero: the
-// default of health.Rules.
+// HealthRules are the parameters for merging evidence on servers; docs/health.md explains them. A zero value selects
+// the default of health.Rules.
 type HealthRules struct {
 	PanicThreshold     float64  `toml:"panic"`
 	MaxEjectedFraction float64  `toml:"eject_most"`
@@ -23,10 +23,10 @@
 	WeightRiseTime     Duration `toml:"weight_step"`
 }
 
-// maxClasses is the number of classes that fit into the bit sets of health rules.
+// maxClasses is the number of classes that fit into the bit sets of the health rules.
 const maxClasses = 63
 
-// HealthRules are the rules of the health table: the defaults, with what the file sets.
+// HealthRules returns the rules of the health table: the defaults, overridden by the values in the file.
 func (p *Partners) HealthRules() health.Rules {
 	nonIdempotent := uint64(0)
 	for i, class := range p.Classes {
@@ -50,7 +50,7 @@
 	return rules
 }
 
-// override sets a value to a configured one, unless that is zero.
+// override sets a value to the configured one unless that is zero.
 func override[T comparable](value *T, configured T) {
 	var zero T
 	if configured != zero {
@@ -60,14 +60,14 @@
 
 func (p *Partners) validateHealthRules(problems *validator) {
 	if len(p.Classes) == 0 || len(p.Classes) > maxClasses {
-		return // a problem of its own
+		return // validateClasses reports it
 	}
 	if _, err := health.New(p.HealthRules(), nil, time.Unix(0, 0)); err != nil {
 		problems.addf("health", "%v", err)
 	}
 }
 
-// HealthSources are the check profiles as the health table's sources of evidence, by their index.
+// HealthSources returns the check profiles as the health table's sources of evidence, in the same order.
 func (p *Partners) HealthSources() (sources []health.CheckConfig) {
 	for _, profile := range p.CheckProfiles {
 		sources = append(sources, health.CheckConfig{
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -1,5 +1,5 @@
-// Package config reads the aggregator's configuration: the platform's (Node), and an operator's file for SRU and Z39.50
-// (Partners).
+// Package config reads the aggregator's configuration: the platform's configuration (Node), or an operator's file for
+// SRU and Z39.50 (Partners).
 package config
 
 import (
@@ -25,7 +25,7 @@
 	defaultSockets  = 1024
 )
 
-// Node is the platform's configuration of one aggregator. It is a value; its slices are not changed.
+// Node is the platform's configuration of one aggregator. Its slices must not be modified, as copies share them.
 type Node struct {
 	Name             string
 	Listen           string // host:port
@@ -34,20 +34,20 @@
 	Cores            float64
 	MemoryMB         int
 	Sockets          int
-	InitialEndpoints json.RawMessage // endpoint list to serve from before discovery answers; empty: none
-	PeerListen       string          // where gossip of the other instances arrives; empty: none does
-	Peers            []string        // from where each instance of the fleet sends, this one included
-	PeerBroadcast    string          // reaches all instances
-	Control          string          // host:port where operators call; empty: nowhere
-	StateDir         string          // shared with the processes that this one replaces or is replaced by; empty: none
+	InitialEndpoints json.RawMessage // endpoint list to use until discovery answers; empty: none
+	PeerListen       string          // address for gossip from other instances; empty: no gossip
+	Peers            []string        // source address of each instance of the fleet, including this one
+	PeerBroadcast    string          // address to which gossip for all instances is sent
+	Control          string          // host:port for operators' calls; empty: none
+	StateDir         string          // directory shared with the processes that replace each other; empty: none
 	Deployment       settings.Deployment
 
-	fileDiscovery string // discovery as the file has it
-	file          any    // the file as decoded, but for the endpoint list
+	fileDiscovery string // value of discovery in the file
+	fileKeys      any    // the decoded file, without the endpoint list
 }
 
-// LoadNode reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONTROL override it, and
-// TMPDIR is where state is shared. env is os.Getenv, or a test's.
+// LoadNode reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONTROL override its
+// values, and TMPDIR sets StateDir. env looks up a variable, as os.Getenv does.
 func LoadNode(env func(string) string) (Node, error) {
 	path := env("NODE_CONFIG")
 	if path == "" {
@@ -74,21 +74,21 @@
 		}
 	}
 	if node.Listen == "" || node.Discovery == "" {
-		return node, errors.New("the configuration names no address to listen on, or no discovery")
+		return node, errors.New("listen and discovery must be set, in the file or by NODE_LISTEN and NODE_DISCOVERY")
 	}
 	return node, nil
 }
 
-// Reload reads the file that NODE_CONFIG names once more, and returns the configuration with what can change in a running
-// process: the address of discovery, the memory limit and the settings. The file overrides NODE_DISCOVERY once it names
-// another address than before, as the environment of a running process cannot change. restartNeeded says whether the file
-// has changes that only a start applies. After an error, which names what is wrong or missing, nothing is taken.
+// Reload reads the file that NODE_CONFIG names again, and returns the configuration with the changes that a running
+// process supports: the address of discovery, the memory limit and the settings. Once discovery in the file changes, it
+// overrides NODE_DISCOVERY, as the environment of a running process cannot change. restartNeeded reports whether the
+// file has other changes, which only a restart applies. If there is an error, next is n unchanged.
 func (n Node) Reload(env func(string) string) (next Node, restartNeeded bool, err error) {
 	loaded, err := LoadNode(env)
 	if err != nil {
 		return n, false, err
 	}
-	if key := missingKey(n.file, loaded.file, ""); key != "" {
+	if key := missingKey(n.fileKeys, loaded.fileKeys, ""); key != "" {
 		return n, false, fmt.Errorf("%w: %s", errKeyMissing, key)
 	}
 	if _, err := balance.New(loaded.Deployment.Decisions); err != nil {
@@ -97,7 +97,7 @@
 	next = n
 	next.MemoryMB = loaded.MemoryMB
 	next.Deployment = loaded.Deployment
-	next.file = loaded.file
+	next.fileKeys = loaded.fileKeys
 	if loaded.fileDiscovery != n.fileDiscovery {
 		next.fileDiscovery = loaded.fileDiscovery
 		if loaded.fileDiscovery != "" {
@@ -109,32 +109,34 @@
 	return next, restartNeeded, nil
 }
 
-// errKeyMissing rejects a file without a key that the file before it had: it was cut, or made by something else.
-var errKeyMissing = errors.New("a key is missing that the file had before")
+// errKeyMissing rejects a file that lacks a key of the previous file: it may be truncated, or not a configuration at
+// all.
+var errKeyMissing = errors.New("a key of the previous configuration is missing")
 
-// missingKey is the path of a key that an object has and a later one has not; empty: there is none. The elements of lists
-// are compared with the first one before: a list may grow, shrink and be reordered.
-func missingKey(former, later any, path string) string {
-	switch former := former.(type) {
+// missingKey returns the path of a key that is in the previous value but not in the next one; empty: there is none. All
+// elements of a list are compared with the first element of the previous list, as a list may grow, shrink and be
+// reordered.
+func missingKey(previous, next any, path string) string {
+	switch previous := previous.(type) {
 	case map[string]any:
-		object, _ := later.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(former)) {
+		object, _ := next.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(previous)) {
 			value, ok := object[key]
 			keyPath := path + "." + key
 			if !ok {
 				return strings.TrimPrefix(keyPath, ".")
 			}
-			if missing := missingKey(former[key], value, keyPath); missing != "" {
+			if missing := missingKey(previous[key], value, keyPath); missing != "" {
 				return missing
 			}
 		}
 	case []any:
-		list, ok := later.([]any)
+		list, ok := next.([]any)
 		if !ok {
 			return strings.TrimPrefix(path, ".")
 		}
-		for i := 0; len(former) > 0 && i < len(list); i++ {
-			if missing := missingKey(former[0], list[i], fmt.Sprintf("%s[%d]", path, i)); missing != "" {
+		for i := 0; len(previous) > 0 && i < len(list); i++ {
+			if missing := missingKey(previous[0], list[i], fmt.Sprintf("%s[%d]", path, i)); missing != "" {
 				return missing
 			}
 		}
@@ -142,7 +144,7 @@
 	return ""
 }
 
-// nodeFile is the JSON of the configuration.
+// nodeFile is the JSON form of the configuration.
 type nodeFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -168,7 +170,7 @@
 		return Node{}, err
 	}
 	if len(file.Settings) == 0 {
-		return Node{}, errors.New("no settings")
+		return Node{}, errors.New("the key settings is missing")
 	}
 	node := Node{
 		Name:             file.Name,
@@ -185,7 +187,7 @@
 		Control:          file.Control,
 		fileDiscovery:    file.Discovery,
 	}
-	if err := node.keepKeys(text); err != nil {
+	if err := node.recordKeys(text); err != nil {
 		return node, err
 	}
 	if err := node.validatePeers(); err != nil {
@@ -205,24 +207,24 @@
 		node.Sockets = defaultSockets
 	}
 	node.Deployment.Decisions.Seed = node.Seed
-	// Clients of the real platform honour Retry-After whatever the simulator forwards: a query that is given up is
-	// answered at once with the time to retry after, where the simulator would hold the query.
+	// Clients of the real platform honor Retry-After even if the simulator does not forward it: a rejected query is
+	// answered at once with the time to retry after, while under the simulator the query would be held.
 	node.Deployment.Decisions.MaxRetryAfter = node.Deployment.MaxRetryAfter
 	return node, nil
 }
 
-// keepKeys keeps the file for Reload to compare with. Endpoint lists differ freely.
-func (n *Node) keepKeys(text []byte) error {
+// recordKeys stores the decoded file for comparison by Reload, without the endpoint list, whose keys may vary.
+func (n *Node) recordKeys(text []byte) error {
 	var keys map[string]any
 	if err := json.Unmarshal(text, &keys); err != nil {
 		return err
 	}
 	delete(keys, "known")
-	n.file = keys
+	n.fileKeys = keys
 	return nil
 }
 
-// validatePeers checks the addresses of gossip. The error begins with the key.
+// validatePeers validates the gossip addresses. The error begins with the key.
 func (n Node) validatePeers() error {
 	addrs := map[string]string{"peer_listen": n.PeerListen, "peers_all": n.PeerBroadcast}
 	for i, peer := range n.Peers {
@@ -239,8 +241,8 @@
 	return nil
 }
 
-// parseSeed reads a seed: hexadecimal text as a rule. Any other text, and the JSON of any other value, is hashed, unless
-// it happens to be hexadecimal.
+// parseSeed parses a seed, which is normally hexadecimal text. Text that is not hexadecimal is hashed. A value that is
+// not a string is treated as the text of its JSON.
 func parseSeed(raw json.RawMessage) uint64 {
 	var text string
 	if json.Unmarshal(raw, &text) != nil {
--- a/internal/config/partners.go
+++ b/internal/config/partners.go
@@ -9,25 +9,25 @@
 	"rooktrestle/balance"
 )
 
-// Duration is a time in the operator's file, as "1.5s". It is not negative.
+// Duration is a non-negative duration in the operator's file, such as "1.5s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a Duration.
+// UnmarshalText parses a Duration.
 func (d *Duration) UnmarshalText(text []byte) (err error) {
 	if d.Duration, err = time.ParseDuration(string(text)); err == nil && d.Duration < 0 {
-		err = errors.New("a time must not be negative")
+		err = errors.New("a duration must not be negative")
 	}
 	return err
 }
 
-// Protocols that servers speak.
+// Protocols of servers.
 const (
 	SRU   = "sru"
 	Z3950 = "z3950"
 )
 
-// Partners is the operator's file of the second front: an aggregator behind SRU and Z39.50. LoadPartners returns it
-// validated and with all defaults; it is not changed after that.
+// Partners is the operator's file for an aggregator that serves SRU and Z39.50. LoadPartners returns it validated and
+// with all defaults set; it must not be modified after that.
 type Partners struct {
 	Name          string         `toml:"name"`
 	Listen        Listen         `toml:"listen"`
@@ -45,14 +45,14 @@
 	HealthConfig  HealthRules    `toml:"health"`
 }
 
-// Listen has the addresses of the listeners (host:port; empty: not listened to) and what each of them may use.
+// Listen has the addresses of the listeners (host:port; empty: disabled) and their limits of sockets.
 type Listen struct {
 	SRU    string `toml:"sru"`
 	Z3950  string `toml:"z3950"`
 	Health string `toml:"health"` // HTTP
 	Agent  string `toml:"agent"`  // agent-check
-	// AgentWait is how long an agent-check may take to name a database (agent-send) before it is answered for the
-	// aggregator as a whole; 0: no agent-check names one.
+	// AgentWait is how long an agent-check may take to name a database (agent-send) before the answer is for the
+	// aggregator as a whole; 0: agent-checks cannot name a database.
 	AgentWait    Duration     `toml:"agent_wait"`
 	SocketLimits SocketLimits `toml:"share"`
 }
@@ -61,7 +61,7 @@
 type Limits struct {
 	MemoryMB   int      `toml:"memory_mb"`
 	Sockets    int      `toml:"sockets"`
-	MaxOpen    int      `toml:"max_open"`    // open queries, and parts in flight
+	MaxOpen    int      `toml:"max_open"`    // limit of open queries, and of parts in flight
 	MaxRecords int      `toml:"max_records"` // of one part, and of one answer
 	ResultSets int      `toml:"result_sets"` // of one Z39.50 association
 	Attempts   int      `toml:"attempts"`    // of one part
@@ -69,12 +69,12 @@
 	Idle       Duration `toml:"idle"`        // servers close a connection that has been idle for so long
 }
 
-// Ring says which servers hold which shard where there is no shard map: shard s is held by the cells s to s+Reach-1, modulo
-// Cells.
+// Ring assigns shards to cells if there is no shard map: the replicas of shard s are the servers of the cells s to
+// s+Reach-1, modulo Cells.
 type Ring struct {
-	Count int `toml:"count"` // shards
+	Count int `toml:"count"` // number of shards
 	Cells int `toml:"cells"`
-	Reach int `toml:"reach"` // consecutive cells that hold a shard
+	Reach int `toml:"reach"` // number of consecutive cells with replicas of a shard
 }
 
 // Class is a class of queries.
@@ -83,14 +83,14 @@
 	Objective       Duration `toml:"aim"` // latency objective
 	Deadline        Duration `toml:"deadline"`
 	Weight          float64  `toml:"worth"`      // priority weight of an answer within the objective
-	OverdueFraction float64  `toml:"late_worth"` // of the weight, for an answer after it
+	OverdueFraction float64  `toml:"late_worth"` // of the weight, for an answer after the objective
 	NonIdempotent   bool     `toml:"unsafe"`     // no part may run twice
 	MinFraction     float64  `toml:"floor"`      // of the parts, for any answer
-	PartialFraction float64  `toml:"partial"`    // of the weight, for an answer without all parts; scaled by its share of them
+	PartialFraction float64  `toml:"partial"`    // of the weight, for a partial answer; scaled by its share of parts
 	FollowUpParts   int      `toml:"second_step"`
 }
 
-// Tenant is a customer, known by the users that sign on, or by the database they use.
+// Tenant is a customer, identified by the user who signs on, or otherwise by the database used.
 type Tenant struct {
 	Name  string   `toml:"name"`
 	Quota float64  `toml:"quota"` // queries per second
@@ -114,14 +114,14 @@
 	Addr     string   `toml:"addr"`
 	Cell     int      `toml:"cell"`
 	Zone     int      `toml:"zone"`
-	Database string   `toml:"database"` // the server's name for a shard: %d stands for its number, %e for the epoch
+	Database string   `toml:"database"` // the server's name for a shard: %d is its number, %e the epoch
 	Agent    string   `toml:"agent"`    // agent-check address: implies the profile "agent ADDRESS"
-	Health   string   `toml:"health"`   // path of an HTTP health check at its address: implies the profile "http PATH"
+	Health   string   `toml:"health"`   // path of an HTTP check at Addr: implies the profile "http PATH"
 	Checks   []string `toml:"checks"`   // names of check profiles
 }
 
-// LoadPartners reads the operator's file, sets its defaults and validates it. The error of a file that can be read is of
-// type Problems: all that is wrong, each with its line.
+// LoadPartners reads the operator's file, sets its defaults and validates it. If the file can be read but is invalid,
+// the error is of type Problems and has every problem with its line.
 func LoadPartners(path string) (*Partners, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return p, nil
 }
 
-// setDefault sets a value that is zero, as the file does not set it.
+// setDefault sets a value that is zero, that is, not set in the file.
 func setDefault[T comparable](value *T, byDefault T) {
 	var zero T
 	if *value == zero {
@@ -167,17 +167,17 @@
 	p.setShardMapDefaults()
 }
 
-// ClassIndex is the index of a class by its name, or -1.
+// ClassIndex returns the index of the class with a name, or -1.
 func (p *Partners) ClassIndex(name string) int {
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// TenantIndex is the index of a tenant by its name, or -1.
+// TenantIndex returns the index of the tenant with a name, or -1.
 func (p *Partners) TenantIndex(name string) int {
 	return slices.IndexFunc(p.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// BalancerSettings are the settings of the decisions that follow from the file. seed is that of all random draws.
+// BalancerSettings derives the balancer's settings from the file. seed seeds its random choices.
 func (p *Partners) BalancerSettings(seed uint64) balance.Settings {
 	settings := balance.Settings{
 		Seed:            seed,
@@ -193,7 +193,7 @@
 		MaxRetryAfter:   5 * time.Second,
 		OverQuotaFactor: 1,
 	}
-	if p.ShardMap.Enabled() { // each part names the replicas of its shard
+	if p.ShardMap.Enabled() { // the ring is unused, as each part lists the replicas of its shard
 		settings.Cells, settings.Reach, settings.Shards = 1, 1, 1
 	}
 	for _, class := range p.Classes {
--- a/internal/config/partnersvalidate.go
+++ b/internal/config/partnersvalidate.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// validate reports all that is wrong with a file. Some of it is a problem of several keys; the line is that of one.
+// validate reports every problem of a file. A problem that involves several keys is reported at the line of one of
+// them.
 func (p *Partners) validate(problems *validator) {
 	if p.Listen.SRU == "" && p.Listen.Z3950 == "" {
-		problems.addf("listen", "neither sru nor z3950 is listened to")
+		problems.addf("listen", "at least one of listen.sru and listen.z3950 must be set")
 	}
 	p.validateShards(problems)
 	p.validateLimits(problems)
 	p.validateClasses(problems)
 	p.validateDatabases(problems)
 	if len(p.Databases) == 0 || len(p.Servers) == 0 {
-		problems.addf("", "no database, or no server")
+		problems.addf("", "at least one database and one server are required")
 	}
 	p.validateServers(problems)
 	p.validateListeners(problems)
@@ -25,14 +26,14 @@
 }
 
 func (p *Partners) validateShards(problems *validator) {
-	if !p.ShardMap.intended() {
+	if !p.ShardMap.configured() {
 		problems.requireMin("shards.count", p.Shards.Count, 1)
 		problems.requireMin("shards.cells", p.Shards.Cells, 1)
 		problems.requireMin("shards.reach", p.Shards.Reach, 1)
 	}
 	p.validateShardMap(problems)
 	if p.Shards.Reach > p.Shards.Cells {
-		problems.addf("shards.reach", "reach must be at most cells: %d of %d", p.Shards.Reach, p.Shards.Cells)
+		problems.addf("shards.reach", "reach %d must be at most cells %d", p.Shards.Reach, p.Shards.Cells)
 	}
 }
 
@@ -51,7 +52,7 @@
 	for i, class := range p.Classes {
 		path := fmt.Sprintf("class.%d", i)
 		if class.Name == "" || names[class.Name] {
-			problems.addf(path, "class %q has no name, or stands twice", class.Name)
+			problems.addf(path, "class %q: the name is missing or used twice", class.Name)
 		}
 		names[class.Name] = true
 		if class.Objective.Duration <= 0 {
@@ -61,13 +62,13 @@
 			problems.addf(path+".deadline", "class %q: deadline %v is before aim %v",
 				class.Name, class.Deadline.Duration, class.Objective.Duration)
 		}
-		if !(class.MinFraction > 0 && class.MinFraction <= 1) { // written so that NaN is a problem, too
+		if !(class.MinFraction > 0 && class.MinFraction <= 1) { // negated so that NaN is rejected, too
 			problems.addf(path+".floor", "class %q: floor must be over 0 and at most 1, not %v",
 				class.Name, class.MinFraction)
 		}
 	}
 	if len(p.Classes) == 0 || len(p.Classes) > maxClasses {
-		problems.addf("class", "1 to 63 classes, not %d", len(p.Classes))
+		problems.addf("class", "the number of classes must be 1 to 63, not %d", len(p.Classes))
 	}
 }
 
@@ -75,21 +76,21 @@
 	for i, database := range p.Databases {
 		path := fmt.Sprintf("database.%d", i)
 		if p.ClassIndex(database.SearchClass) < 0 {
-			problems.addf(path+".search", "database %s: class %q is not there",
+			problems.addf(path+".search", "database %s: search class %q is not defined",
 				database.Name, database.SearchClass)
 		}
 		if database.CorrectionClass != "" {
-			// A correction of an idempotent class could be sent again after it may have run.
+			// A correction of an idempotent class could be retried although it may have run.
 			if class := p.ClassIndex(database.CorrectionClass); class < 0 || !p.Classes[class].NonIdempotent {
-				problems.addf(path+".correction", "database %s: class %q of corrections is not there, or not unsafe",
+				problems.addf(path+".correction", "database %s: correction class %q is not defined, or not unsafe",
 					database.Name, database.CorrectionClass)
 			}
 		}
 		if p.TenantIndex(database.Tenant) < 0 {
-			problems.addf(path+".tenant", "database %s: tenant %q is not there", database.Name, database.Tenant)
+			problems.addf(path+".tenant", "database %s: tenant %q is not defined", database.Name, database.Tenant)
 		}
-		if database.Name == "" || len(database.Shards) == 0 && !p.ShardMap.intended() {
-			problems.addf(path, "database %q: no name or no shards", database.Name)
+		if database.Name == "" || len(database.Shards) == 0 && !p.ShardMap.configured() {
+			problems.addf(path, "database %q: the name or the shards are missing", database.Name)
 		}
 		if !p.ShardMap.Enabled() {
 			p.validateDatabaseShards(problems, database, path)
@@ -100,7 +101,8 @@
 func (p *Partners) validateDatabaseShards(problems *validator, database Database, path string) {
 	for i, shard := range database.Shards {
 		if shard < 0 || shard >= p.Shards.Count || slices.Contains(database.Shards[:i], shard) {
-			problems.addf(path+".shards", "database %s: shard %d is not there, or twice", database.Name, shard)
+			problems.addf(path+".shards", "database %s: shard %d must be 0 to %d, and listed once",
+				database.Name, shard, p.Shards.Count-1)
 		}
 	}
 }
@@ -111,9 +113,9 @@
 		path := fmt.Sprintf("server.%d", i)
 		switch {
 		case server.ID == "":
-			problems.addf(path, "a server without an id")
+			problems.addf(path, "a server has no id")
 		case ids[server.ID]:
-			problems.addf(path+".id", "server %q stands twice", server.ID)
+			problems.addf(path+".id", "server id %q is used twice", server.ID)
 		}
 		ids[server.ID] = true
 		if _, _, err := net.SplitHostPort(server.Addr); err != nil {
@@ -123,11 +125,11 @@
 			problems.addf(path+".protocol", "server %q: protocol %q is neither sru nor z3950",
 				server.ID, server.Protocol)
 		}
-		if !p.ShardMap.intended() && (server.Cell < 0 || server.Cell >= p.Shards.Cells) {
-			problems.addf(path+".cell", "server %q: cell %d is not there", server.ID, server.Cell)
+		if !p.ShardMap.configured() && (server.Cell < 0 || server.Cell >= p.Shards.Cells) {
+			problems.addf(path+".cell", "server %q: cell %d must be 0 to %d", server.ID, server.Cell, p.Shards.Cells-1)
 		}
 		if server.Database == "" {
-			problems.addf(path, "server %q: it needs database, how it names a shard", server.ID)
+			problems.addf(path, "server %q: the key database, its name for a shard, is missing", server.ID)
 		}
 	}
 }
--- a/internal/config/peers_test.go
+++ b/internal/config/peers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An address of gossip that is not valid is rejected at the start, with its key.
+// An invalid gossip address is rejected at startup, and the error names its key.
 func TestNode_InvalidPeerAddress(t *testing.T) {
 	for key, n := range map[string]Node{
 		"peer_listen":    {PeerListen: "here"},
@@ -21,7 +21,7 @@
 		t.Error(err)
 	}
 	if err := (Node{}).validatePeers(); err != nil {
-		t.Error(err) // no peers, no gossip
+		t.Error(err) // gossip is optional
 	}
 	_, err := ParseNode([]byte(`{"peer_listen":"here","settings":{}}`))
 	if err == nil || !strings.Contains(err.Error(), "peer_listen") {
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -12,15 +12,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a configuration file.
 type Problem struct {
 	File   string
-	Line   int    // from 1; 0: of the file as a whole
+	Line   int    // from 1; 0: the problem is not at a particular line
 	Key    string // dotted path of the key or table, with indexes, as "server.2.id"; empty: none
 	Reason string
 }
 
-// Error is the problem as "file:line: reason".
+// Error formats the problem as "file:line: reason".
 func (p Problem) Error() string {
 	if p.Line == 0 {
 		return p.File + ": " + p.Reason
@@ -28,10 +28,10 @@
 	return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Reason)
 }
 
-// Problems are all that is wrong with a file, in the order of its lines.
+// Problems are all problems of a file, in the order of its lines.
 type Problems []Problem
 
-// Error is all problems on one line.
+// Error formats all problems on one line.
 func (ps Problems) Error() string {
 	var all []string
 	for _, p := range ps {
@@ -40,15 +40,15 @@
 	return strings.Join(all, "; ")
 }
 
-// keyLines are the lines of a file's keys by their paths, as "server.2.id"; of a table, "server.2".
+// keyLines maps the path of each key ("server.2.id") and table ("server.2") of a file to its line.
 type keyLines map[string]int
 
-// locateKeys finds the lines of the keys of a file. Of a file that is not TOML it returns the keys before the error.
+// locateKeys finds the lines of a file's keys. If the file is not valid TOML it returns the keys before the error.
 func locateKeys(text []byte) keyLines {
 	lines := keyLines{}
 	var parser unstable.Parser
 	parser.Reset(text)
-	elements := map[string]int{} // of each array of tables, so far
+	elements := map[string]int{} // number of elements of each array of tables so far
 	table := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
@@ -71,7 +71,7 @@
 	return lines
 }
 
-// keyOf is the dotted key of an expression, and its line.
+// keyOf returns the dotted key of an expression, and its line.
 func keyOf(expression *unstable.Node, text []byte) (name string, line int) {
 	var path []string
 	for key := expression.Key(); key.Next(); {
@@ -84,8 +84,7 @@
 	return strings.Join(path, "."), line
 }
 
-// line is that of a key; for a key that is not in the file, that of the table it belongs to; 0 if that is not there
-// either.
+// line returns the line of a key, or of its innermost enclosing table if the key is not in the file; 0: neither is.
 func (lines keyLines) line(path string) int {
 	for {
 		if line, ok := lines[path]; ok {
@@ -99,7 +98,7 @@
 	}
 }
 
-// decode reads TOML into target, a pointer. Keys that target does not have are problems. Its error is of type Problems.
+// decode decodes TOML into target, a pointer. Keys that target lacks are problems. Its error is of type Problems.
 func decode(file string, text []byte, target any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -138,7 +137,7 @@
 	problems Problems
 }
 
-// addf adds a problem of the key at a path.
+// addf adds a problem with the key at a path.
 func (v *validator) addf(path, format string, args ...any) {
 	v.problems = append(v.problems, Problem{
 		File:   v.file,
@@ -155,7 +154,7 @@
 	}
 }
 
-// err is of type Problems, in the order of lines; nil: there are none.
+// err returns the problems as Problems, in the order of lines; nil: there are none.
 func (v *validator) err() error {
 	if len(v.problems) == 0 {
 		return nil
--- a/internal/config/shardmap.go
+++ b/internal/config/shardmap.go
@@ -8,28 +8,30 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// ShardMapSource says where the shard map comes from that takes the place of the ring of [shards].
+// ShardMapSource configures a shard map, which replaces the ring of [shards], and its source.
 type ShardMapSource struct {
-	Archive           string   `toml:"archive"`    // the map's own name for what it maps
-	File              string   `toml:"file"`       // polled; or
+	Archive           string   `toml:"archive"`    // name of the archive that the map must have
+	File              string   `toml:"file"`       // file to poll; or
 	Source            string   `toml:"source"`     // host:port of an HTTP source with long poll
 	PollInterval      Duration `toml:"every"`      // of File
 	LongPollTimeout   Duration `toml:"wait"`       // of Source
-	CachePath         string   `toml:"keep"`       // where the last adopted map is persisted; empty: nowhere
-	MaxPinnedEpochs   int      `toml:"pinned"`     // earlier epochs retained for open queries
-	MaxPinnedAge      Duration `toml:"pinned_for"` // and for how long
-	WarmupPeriod      Duration `toml:"cold"`       // of a server that is new to a shard
-	WarmupMinFraction float64  `toml:"cold_from"`  // fraction of its traffic with which it starts
-	MaxSourceLag      Duration `toml:"patience"`   // how long the source may be behind an epoch that servers report
+	CachePath         string   `toml:"keep"`       // file to which the last adopted map is persisted; empty: none
+	MaxPinnedEpochs   int      `toml:"pinned"`     // previous epochs retained for open queries
+	MaxPinnedAge      Duration `toml:"pinned_for"` // longest time for which they are retained
+	WarmupPeriod      Duration `toml:"cold"`       // of a server that is new for a shard
+	WarmupMinFraction float64  `toml:"cold_from"`  // fraction of its traffic that it receives at first
+	MaxSourceLag      Duration `toml:"patience"`   // how long the source may lag behind an epoch that servers report
 }
 
-// Enabled says whether a shard map is used.
+// Enabled reports whether a shard map is used.
 func (s *ShardMapSource) Enabled() bool { return s.File != "" || s.Source != "" }
 
-// intended says whether the file means to use a shard map, whether it names its source or not.
-func (s *ShardMapSource) intended() bool { return s.Enabled() || s.Archive != "" || s.CachePath != "" }
+// configured reports whether the file sets keys of a shard map, even if the source is missing.
+func (s *ShardMapSource) configured() bool {
+	return s.Enabled() || s.Archive != "" || s.CachePath != ""
+}
 
-// ViewOptions are the options of the views of the map.
+// ViewOptions returns the options for views of the map.
 func (s *ShardMapSource) ViewOptions() shardmap.ViewOptions {
 	return shardmap.ViewOptions{
 		MaxPinnedEpochs:   s.MaxPinnedEpochs,
@@ -54,7 +56,7 @@
 	setDefault(&s.MaxSourceLag.Duration, 500*time.Millisecond)
 }
 
-// longestDeadline is the longest deadline of a class.
+// longestDeadline returns the longest deadline of the classes.
 func (p *Partners) longestDeadline() (longest time.Duration) {
 	for _, class := range p.Classes {
 		longest = max(longest, class.Deadline.Duration)
@@ -65,8 +67,8 @@
 func (p *Partners) validateShardMap(problems *validator) {
 	s := &p.ShardMap
 	if !s.Enabled() {
-		if s.intended() {
-			problems.addf("blocks", "neither file nor source says where the map comes from")
+		if s.configured() {
+			problems.addf("blocks", "neither file nor source of the map of blocks is set")
 		}
 		return
 	}
@@ -78,7 +80,8 @@
 	for i, database := range p.Databases {
 		if len(database.Shards) > 0 {
 			path := fmt.Sprintf("database.%d.shards", i)
-			problems.addf(path, "database %s: with a map of blocks it has all of them, and names no shards", database.Name)
+			problems.addf(path, "database %s: shards must not be set with a map of blocks, which assigns it all blocks",
+				database.Name)
 		}
 	}
 }
@@ -86,13 +89,13 @@
 func (p *Partners) validateShardMapSource(problems *validator) {
 	s := &p.ShardMap
 	if s.File != "" && s.Source != "" {
-		problems.addf("blocks.source", "a file or a source, not both: they could contradict each other")
+		problems.addf("blocks.source", "set either file or source, not both, as they could contradict each other")
 	}
 	if s.Archive == "" {
-		problems.addf("blocks", "archive: the map's name for what it maps is needed")
+		problems.addf("blocks", "archive, the name of the archive in the map, must be set")
 	}
 	if p.Shards.Count != 0 || p.Shards.Cells != 0 || p.Shards.Reach != 0 {
-		problems.addf("shards", "the ring of [shards] and a map of blocks: only one of them can say who holds what")
+		problems.addf("shards", "[shards] and [blocks] both assign blocks to servers: only one of them can be set")
 	}
 	if _, _, err := net.SplitHostPort(s.Source); s.Source != "" && err != nil {
 		problems.addf("blocks.source", "source %q is not host:port", s.Source)
@@ -103,7 +106,7 @@
 	s := &p.ShardMap
 	if s.MaxPinnedAge.Duration < p.longestDeadline() {
 		problems.addf("blocks.pinned_for",
-			"pinned_for %v is shorter than the longest deadline %v: queries would have to leave their view while their time lasts",
+			"pinned_for %v is shorter than the longest deadline %v: queries would lose their epoch before it",
 			s.MaxPinnedAge.Duration, p.longestDeadline())
 	}
 	if s.LongPollTimeout.Duration > time.Minute || s.LongPollTimeout.Duration < 0 {
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SocketLimits are the numbers of sockets that each listener may use.
+// SocketLimits has the number of sockets that each listener may use.
 type SocketLimits struct {
 	SRU    int `toml:"sru"`
 	Z3950  int `toml:"z3950"`
@@ -16,15 +16,16 @@
 const (
 	// reservedSockets are set aside for listeners, pollers, standard streams and files.
 	reservedSockets = 32
-	// maxAgentWait is the longest wait of an agent-check: load balancers time out soon after.
+	// maxAgentWait is the longest configurable wait of an agent-check: load balancers time out soon after.
 	maxAgentWait = time.Second
 )
 
-// frontendSockets are what the listeners share: half of all sockets, as servers and health checks have the other half.
+// frontendSockets returns the number of sockets that the listeners share: half of all sockets, less the reserved ones.
+// Connections to servers and health checks use the other half.
 func (p *Partners) frontendSockets() int { return p.Limits.Sockets/2 - reservedSockets }
 
 // setSocketDefaults divides the frontends' sockets: a tenth for health, a twentieth for agent-checks, and of the
-// remaining ones three fifths for SRU and two fifths for Z39.50.
+// remainder three fifths for SRU and two fifths for Z39.50.
 func (p *Partners) setSocketDefaults() {
 	total := max(8, p.frontendSockets())
 	limits := &p.Listen.SocketLimits
@@ -67,10 +68,12 @@
 		}
 	}
 	if available := p.frontendSockets(); sum > available {
-		problems.addf("listen.share", "the listeners' shares come to %d sockets, and %d of limits.sockets %d are theirs",
+		problems.addf("listen.share",
+			"the listeners use %d sockets in total, but only %d of limits.sockets %d are available to them",
 			sum, max(0, available), p.Limits.Sockets)
 	}
 	if p.Listen.AgentWait.Duration > maxAgentWait {
-		problems.addf("listen.agent_wait", "agent_wait must be at most 1s: balancers wait no longer")
+		problems.addf("listen.agent_wait", "agent_wait must be at most 1s, not %v: load balancers time out soon after",
+			p.Listen.AgentWait.Duration)
 	}
 }
