--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway translates between the frontends of library protocols and the core: it turns searches and corrections
-// into queries, and the parts of an answer into one outcome. It does no I/O.
+// Package gateway translates between the frontends of library protocols and the core: it converts searches and
+// corrections to queries, and merges the parts of an answer into one outcome. It does no I/O.
 package gateway
 
 import (
@@ -16,19 +16,20 @@
 	"rooktrestle/internal/query"
 )
 
-// Service makes queries. Its fields are set before use and not changed; its methods may be called from any goroutine.
+// Service converts searches and corrections to queries. Its fields must be set before use and not be changed after
+// that; its methods may be called from any goroutine.
 type Service struct {
 	Config *config.Partners
 	Post   func(aggregator.Message) // to the loop
 	Now    func() time.Time
 
-	lastID atomic.Uint64 // of the queries
+	lastID atomic.Uint64 // number in the last query's ID
 }
 
 // Caller identifies a client.
 type Caller struct {
 	User string // empty: the client has not signed on
-	// Disconnected, if set, asks whether the client has gone away; see aggregator.Request.Disconnected.
+	// Disconnected, if set, reports whether the client has disconnected; see aggregator.Request.Disconnected.
 	Disconnected func(now time.Time) bool
 }
 
@@ -36,7 +37,7 @@
 // time, also after the outcome.
 type Cancel func()
 
-// Database finds a database by its name, in any case; nil: there is none. The database belongs to the configuration.
+// Database finds a database by its name, ignoring case; nil: there is none. The caller must not modify it.
 func (s *Service) Database(name string) *config.Database {
 	for i := range s.Config.Databases {
 		if strings.EqualFold(s.Config.Databases[i].Name, name) {
@@ -46,13 +47,14 @@
 	return nil
 }
 
-// Tenant is the index of the tenant of a user, or -1 for a user who may not sign on.
+// Tenant returns the index of a user's tenant, or -1 for a user who may not sign on.
 func (s *Service) Tenant(user string) int {
 	return slices.IndexFunc(s.Config.Tenants, func(t config.Tenant) bool { return slices.Contains(t.Users, user) })
 }
 
-// Search searches databases of one class and requests up to maxRecords records of each shard. An outcome that is known
-// at once is returned; any other is passed to done, once, on the loop, unless the search is cancelled.
+// Search searches databases of one class and requests up to maxRecords records from each shard. If the request is
+// invalid, Search returns its outcome; otherwise the outcome is passed to done, once, on the loop, unless the search is
+// canceled.
 func (s *Service) Search(
 	caller Caller, databases []string, search query.Node, maxRecords int, done func(Outcome),
 ) (Cancel, *Outcome) {
@@ -70,8 +72,8 @@
 	}, done)
 }
 
-// resolve finds the first of the databases, whose tenant and class count, and the shards of all. All must be of one
-// class; if not, or if one is not there, it returns the outcome.
+// resolve returns the first of the databases, whose tenant and class apply to the query, and the shards of all of them.
+// If a database does not exist or has a different class than the first, it returns the outcome.
 func (s *Service) resolve(names []string) (first *config.Database, shards []int, unknown *Outcome) {
 	if len(names) == 0 {
 		return nil, nil, &Outcome{Kind: UnknownDatabase}
@@ -93,8 +95,8 @@
 	return first, shards, nil
 }
 
-// Correct creates, replaces or deletes a record. The correction is sent to one shard, and never runs twice. Outcomes are
-// reported as those of Search.
+// Correct creates, replaces or deletes a record. The correction is sent to one shard, and never runs twice. Its outcome
+// is reported as by Search.
 func (s *Service) Correct(
 	caller Caller, database string, action query.Action, record query.Record, done func(Outcome),
 ) (Cancel, *Outcome) {
@@ -118,10 +120,11 @@
 	return s.submit(caller, correction, done)
 }
 
-// layout makes the parts of a query from the view of the shard map that it is pinned to.
+// layout returns the parts of a query for the view of the shard map to which the query is pinned.
 type layout func(*shardmap.View) []aggregator.PartSpec
 
-// allShards makes a part of each shard of a view, by its fraction of the weight; nil where there is no shard map.
+// allShards returns a layout with one part for each shard, weighted by its fraction of the map's weight; nil if there
+// is no shard map.
 func (s *Service) allShards() layout {
 	if !s.Config.ShardMap.Enabled() {
 		return nil
@@ -140,15 +143,15 @@
 	}
 }
 
-// shardOfKey makes one part, of the shard that holds a key.
+// shardOfKey returns a layout with one part, for the shard that contains a key.
 func shardOfKey(key shardmap.Key) layout {
 	return func(view *shardmap.View) []aggregator.PartSpec {
 		return []aggregator.PartSpec{{Shard: int(view.Map.Lookup(key).ID), Weight: 1}}
 	}
 }
 
-// ShardOf is the shard of a database that holds a record, where shards are fixed: the number before the first colon of
-// its identifier, if that is a shard of the database; else one chosen by a hash of the identifier.
+// ShardOf returns the shard of a record if the database's shards are fixed: the number before the first colon of the
+// identifier if that is a shard of the database, else one chosen by a hash of the identifier.
 func ShardOf(database *config.Database, id string) int {
 	if number, _, found := strings.Cut(id, ":"); found {
 		for _, shard := range database.Shards {
@@ -162,11 +165,11 @@
 	return database.Shards[int(hash.Sum32()%uint32(len(database.Shards)))]
 }
 
-// submission is a search or correction on its way to the core.
+// submission is a search or correction to be posted to the core.
 type submission struct {
-	database *config.Database // whose tenant counts, for a caller who has not signed on
+	database *config.Database // its tenant applies if the caller has not signed on
 	class    string
-	shards   []int // each gets a part; or
+	shards   []int // one part for each, if layout is nil
 	layout   layout
 	work     query.Work
 }
@@ -193,7 +196,7 @@
 	return func() { s.Post(aggregator.ClientDisconnected{Request: request}) }, nil
 }
 
-// tenantOf is the index of the tenant of a user who has signed on, else that of the database.
+// tenantOf returns the index of the tenant of a user who has signed on, else of the database's tenant.
 func (s *Service) tenantOf(caller Caller, database *config.Database) int {
 	if tenant := s.Tenant(caller.User); caller.User != "" && tenant >= 0 {
 		return tenant
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -9,25 +9,25 @@
 	"rooktrestle/internal/query"
 )
 
-// A record belongs to the shard that its identifier names, or to one by hash, always the same.
+// A record belongs to the shard that its identifier names, or otherwise always to the same shard, chosen by hash.
 func TestShardOf(t *testing.T) {
 	d := &config.Database{Shards: []int{2, 5, 7}}
 	if ShardOf(d, "5:x") != 5 || ShardOf(d, "7:x") != 7 {
-		t.Error("the number before the colon names the shard")
+		t.Error("the number before the colon is not used as the shard")
 	}
 	seen := map[int]bool{}
 	for _, id := range []string{"9:x", "a", "b", "c", "d", "e", "f", ":"} {
 		at := ShardOf(d, id)
 		if seen[at] = true; at != ShardOf(d, id) || at != 2 && at != 5 && at != 7 {
-			t.Errorf("%s goes to %d", id, at)
+			t.Errorf("%s belongs to shard %d, or to different shards in two calls", id, at)
 		}
 	}
 	if len(seen) < 2 {
-		t.Error("the hash spreads nothing")
+		t.Error("all identifiers belong to the same shard")
 	}
 }
 
-// Values of parts.
+// Encoded values of parts.
 var (
 	oneValue        = query.Encode(query.PartResult{Count: 2, Records: []query.Record{{XML: "<a/>"}, {XML: "<b/>"}}})
 	twoValue        = query.Encode(query.PartResult{Count: 1, Records: []query.Record{{XML: "<c/>"}}})
@@ -88,12 +88,12 @@
 		kind:   Rejected,
 	},
 	{
-		name:   "a rejected query whose deadline has passed",
+		name:   "a rejected query whose deadline has expired",
 		answer: aggregator.FinalAnswer{Status: aggregator.StatusRejected, DeadlineExceeded: true},
 		kind:   TimedOut,
 	},
 	{
-		name:   "a failed query whose deadline has passed",
+		name:   "a failed query whose deadline has expired",
 		answer: aggregator.FinalAnswer{Status: aggregator.StatusFailed, DeadlineExceeded: true},
 		kind:   TimedOut,
 	},
@@ -119,6 +119,6 @@
 func TestOutcome_Page(t *testing.T) {
 	o := Outcome{Records: make([]query.Record, 5)}
 	if len(o.Page(2, 2)) != 2 || len(o.Page(5, 9)) != 1 || o.Page(6, 1) != nil || o.Page(0, 1) != nil {
-		t.Error("a page has other records than those from its start, counted from 1")
+		t.Error("a page does not have the records from its start, counted from 1")
 	}
 }
--- a/internal/gateway/merge.go
+++ b/internal/gateway/merge.go
@@ -9,15 +9,15 @@
 	"rooktrestle/internal/query"
 )
 
-// pendingAnswer turns the final answer to a query into its outcome. It implements aggregator.Frontend.
+// pendingAnswer converts the final answer to a query to its outcome. It implements aggregator.Frontend.
 type pendingAnswer struct {
 	done     func(Outcome)
-	sortByID bool // shards may change: records are in the order of their identifiers
+	sortByID bool // sort records by identifier, as shards may change
 }
 
-// Answer passes the outcome on. With fixed shards, records are in the order of shards, and within a shard in the order
-// of its server. Where shards may change, all records are in the order of their identifiers, so that a page is the same
-// before and after a change.
+// Answer passes the outcome to done. With fixed shards, records are ordered by shard, and within a shard as its server
+// returned them. If shards may change, all records are ordered by identifier, so that a page is the same before and
+// after a change.
 func (a *pendingAnswer) Answer(answer aggregator.FinalAnswer) {
 	switch {
 	case answer.Status == aggregator.StatusServed:
@@ -31,7 +31,7 @@
 	}
 }
 
-// merge makes one outcome of the parts of a served query.
+// merge merges the parts of a served query into one outcome.
 func merge(answer aggregator.FinalAnswer, sortByID bool) Outcome {
 	outcome := Outcome{
 		MissingShards:  answer.MissingShards,
@@ -60,8 +60,8 @@
 	return outcome
 }
 
-// sortByIdentifier sorts records by their identifiers. An identifier that has to be parsed from the record's XML is
-// parsed once.
+// sortByIdentifier sorts records by their identifiers. Identifiers that are only in a record's XML are parsed once,
+// before sorting.
 func sortByIdentifier(records []query.Record) {
 	parsed := make(map[string]string, len(records)) // by XML
 	for _, record := range records {
