--- a/cmd/grpchealth/main.go
+++ b/cmd/grpchealth/main.go
@@ -1,5 +1,5 @@
-// Grpchealth speaks grpc.health.v1 beside an aggregator: it serves the aggregator's health to gRPC clients, and checks
-// gRPC servers for it.
+// Grpchealth is a sidecar of an aggregator for grpc.health.v1: it serves the aggregator's health to gRPC clients, and
+// checks gRPC servers for it.
 package main
 
 import "rooktrestle/internal/app/grpchealthcmd"
--- a/cmd/rookgrpc/main.go
+++ b/cmd/rookgrpc/main.go
@@ -1,5 +1,5 @@
-// Rookgrpc is the former name of grpchealth, kept for operators' units: the same command, with the same flags. See
-// cmd/grpchealth.
+// Rookgrpc is the previous name of grpchealth: the same command with the same flags, retained for operators' service
+// units that use it. See cmd/grpchealth.
 package main
 
 import "rooktrestle/internal/app/grpchealthcmd"
