--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Simadapter runs the balancers of aggregators under the simulator: it reads frames of events from standard input and
-// writes actions to standard output. The aggregators share nothing.
+// Simadapter runs the balancers of simulated aggregators: it reads frames of events from the simulator on standard
+// input and writes the balancers' actions to standard output. The aggregators share no state.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	}
 }
 
-// balancers are those of the running instances, by the instance's name.
+// balancers has the balancer of each running instance, by the instance's name.
 type balancers map[string]*balance.Balancer
 
-// serve answers frames until the input ends. It reports an error to the simulator before it returns it.
+// serve answers frames until the end of the input. It reports an error to the simulator before returning it.
 func serve(input io.Reader, output io.Writer) error {
 	reader := simadapter.NewReader(input)
 	writer := simadapter.NewWriter(output)
@@ -45,8 +45,8 @@
 	}
 }
 
-// turn hands a frame's events to their instances, in the order in which the frame first names these, and writes
-// what the balancers do.
+// turn passes a frame's events to their instances, in the order in which the frame first names the instances, and
+// writes the balancers' actions.
 func (b balancers) turn(writer *simadapter.Writer, frame *simadapter.Frame) error {
 	var order []string
 	pending := map[string][]balance.Event{}
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// handle starts or stops an instance, or takes an event for its balancer. It returns the events of this frame that the
-// balancer has yet to get; pending are those so far, which an instance that starts or stops forgets.
+// handle starts or stops an instance, or queues an event for its balancer. pending has the frame's queued events for
+// the instance; handle returns the new queue, which is empty after a start or stop.
 func (b balancers) handle(instance string, input simadapter.Input, pending []balance.Event) ([]balance.Event, error) {
 	switch input := input.(type) {
 	case simadapter.Start:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "SUBMIT_TO") {
-		t.Errorf("acted for what died with the gatherer:\n%s", out.String())
+		t.Errorf("a restarted gatherer handled work of its previous run:\n%s", out.String())
 	}
 }
 
