--- a/cmd/rooktrestle/blocks.go
+++ b/cmd/rooktrestle/blocks.go
@@ -13,14 +13,14 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// blocksCommand has the commands on shard maps, which operators know as maps of blocks.
+// blocksCommand returns the commands for shard maps, which operators call maps of blocks.
 func blocksCommand() *cobra.Command {
 	c := &cobra.Command{Use: "blocks", Short: "Inspect shard maps (maps of blocks), and plan their changes"}
 	c.AddCommand(blocksCheckCommand(), blocksShowCommand(), blocksDiffCommand(), blocksPlanCommand())
 	return c
 }
 
-// readMap reads a shard map. The error names the file.
+// readMap reads and parses a shard map. The error names the file.
 func readMap(path string) (*shardmap.Map, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return err
 }
 
-// replicaList lists the replicas of a shard for people.
+// replicaList formats the replicas of a shard for users.
 func replicaList(shard *shardmap.Shard) string {
 	var all []string
 	for _, replica := range shard.Replicas {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// describe describes a difference in one line.
+// describe formats the change of a shard on one line.
 func describe(change shardmap.ShardChange) string {
 	switch {
 	case change.Before == nil:
--- a/cmd/rooktrestle/blocks_test.go
+++ b/cmd/rooktrestle/blocks_test.go
@@ -14,14 +14,15 @@
 {"id":2,"from":"g@2000","to":"p@2000","state":"serving","weight":3,"holders":[{"server":"a"},{"server":"b"}]},
 {"id":3,"from":"p@2000","to":"","state":"serving","holders":[{"server":"b"},{"server":"c"}]}]}`
 
-// Maps are checked, shown and compared; plans are printed, with the waits and why, and their epochs written.
+// Maps are validated, printed and compared. Plans are printed with their waits and the reasons, and their maps are
+// written.
 func TestBlocksCommand(t *testing.T) {
 	dir := t.TempDir()
 	now := filepath.Join(dir, "7.json")
 	writeFile(t, now, mapText)
-	want := func(status int, parts string, args ...string) {
+	expect := func(status int, parts string, args ...string) {
 		t.Helper()
-		got, out, errs := run(t, append([]string{"blocks"}, args...)...)
+		got, out, errs := runProgram(t, append([]string{"blocks"}, args...)...)
 		if got != status {
 			t.Errorf("%v: status %d: %s%s", args, got, out, errs)
 		}
@@ -31,31 +32,31 @@
 			}
 		}
 	}
-	want(0, "epoch 7: 3 blocks", "check", now)
-	want(0, "[g@2000, p@2000)|[p@2000, +inf)", "show", now)
-	want(0, "2  ", "show", now, "--key", "news@2019:44")
-	want(0, `"id": 3`, "show", now, "--key", "z@2019", "--json")
+	expect(0, "epoch 7: 3 blocks", "check", now)
+	expect(0, "[g@2000, p@2000)|[p@2000, +inf)", "show", now)
+	expect(0, "2  ", "show", now, "--key", "news@2019:44")
+	expect(0, `"id": 3`, "show", now, "--key", "z@2019", "--json")
 	steps := filepath.Join(dir, "%d.json")
-	want(0, "epoch 8: block 2 is moving; c join|until every joining server has all|epoch 9|"+
+	expect(0, "epoch 8: block 2 is moving; c join|until every joining server has all|epoch 9|"+
 		"epoch 10: block 2 is held by [b c]|wait 10s",
 		"plan", "move", "2", "b", "c", "--map", now, "--write", steps)
-	want(0, "~ block 2 [g@2000, p@2000), from serving to moving, joins: c", "diff", now, filepath.Join(dir, "8.json"))
-	want(0, "epoch 9: 3 blocks", "check", filepath.Join(dir, "9.json"), "--after", filepath.Join(dir, "8.json"))
-	want(1, "an older epoch", "check", now, "--after", filepath.Join(dir, "8.json"))
-	want(0, "blocks 4 to 5 take its place|wait 18s", "plan", "split", "2", "k@2000", "--map", now)
-	want(0, "block 4 takes their place", "plan", "merge", "1", "2", "--map", now)
-	want(1, "other holders", "plan", "merge", "2", "3", "--map", now)
-	want(1, "does not cut", "plan", "split", "2", "z@2000", "--map", now)
+	expect(0, "~ block 2 [g@2000, p@2000), from serving to moving, joins: c", "diff", now, filepath.Join(dir, "8.json"))
+	expect(0, "epoch 9: 3 blocks", "check", filepath.Join(dir, "9.json"), "--after", filepath.Join(dir, "8.json"))
+	expect(1, "an older epoch", "check", now, "--after", filepath.Join(dir, "8.json"))
+	expect(0, "blocks 4 to 5 take its place|wait 18s", "plan", "split", "2", "k@2000", "--map", now)
+	expect(0, "block 4 takes their place", "plan", "merge", "1", "2", "--map", now)
+	expect(1, "other holders", "plan", "merge", "2", "3", "--map", now)
+	expect(1, "does not cut", "plan", "split", "2", "z@2000", "--map", now)
 	bad := filepath.Join(dir, "bad.json")
 	writeFile(t, bad, strings.Replace(mapText, `"to":"g@2000"`, `"to":"f@2000"`, 1))
-	want(2, `keys from "f@2000" to "g@2000" are in no block`, "check", bad)
-	want(2, "not a map", "show", os.Args[0])
+	expect(2, `keys from "f@2000" to "g@2000" are in no block`, "check", bad)
+	expect(2, "not a map", "show", os.Args[0])
 	forked := filepath.Join(dir, "forked.json")
 	writeFile(t, forked, strings.Replace(mapText, `"weight":3`, `"weight":4`, 1))
-	want(1, "the same epoch with other blocks|weight 3 to 4", "diff", now, forked)
+	expect(1, "the same epoch with other blocks|weight 3 to 4", "diff", now, forked)
 }
 
-// On SIGHUP the map's file is read at once, however rarely it is looked at; a bad one changes nothing.
+// On SIGHUP the map's file is read at once, whatever the poll interval; an older map is rejected.
 func TestPartners_SIGHUP_ReadsTheShardMap(t *testing.T) {
 	dir := t.TempDir()
 	file, conf := filepath.Join(dir, "map.json"), filepath.Join(dir, "front.toml")
@@ -80,7 +81,7 @@
 	writeFile(t, conf, text)
 	writeFile(t, file, mapText)
 	p := start(t, 4, nil, "serve", "--front", conf)
-	until := func(part string) {
+	awaitMetrics := func(part string) {
 		t.Helper()
 		for range 3000 {
 			if _, text := p.get("http://" + p.listen["health"] + "/metrics"); strings.Contains(text, part) {
@@ -88,15 +89,15 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatalf("%q does not come", part)
+		t.Fatalf("%q does not appear in the metrics", part)
 	}
-	until("map: epoch 7")
+	awaitMetrics("map: epoch 7")
 	writeFile(t, file, strings.Replace(mapText, `"epoch":7`, `"epoch":8`, 1))
 	p.signal(syscall.SIGHUP)
-	until("map: epoch 8")
+	awaitMetrics("map: epoch 8")
 	writeFile(t, file, mapText)
 	p.signal(syscall.SIGHUP)
-	until("older 1")
-	until("map: epoch 8")
+	awaitMetrics("older 1")
+	awaitMetrics("map: epoch 8")
 	p.stop()
 }
--- a/cmd/rooktrestle/blocksplan.go
+++ b/cmd/rooktrestle/blocksplan.go
@@ -14,19 +14,19 @@
 	"rooktrestle/internal/control/shardmap"
 )
 
-// Defaults of a plan's waits.
+// Defaults of the times from which a plan's waits are computed.
 const (
 	defaultMapPropagation = 10 * time.Second
 	defaultMaxQueryTime   = 8 * time.Second
 )
 
-// planner plans a change of a shard map from the arguments of a command.
-type planner func(m *shardmap.Map, args []string, timing shardmap.Timing) (*shardmap.Plan, error)
+// planFunc plans a change of a shard map as a command's arguments specify.
+type planFunc func(m *shardmap.Map, args []string, timing shardmap.Timing) (*shardmap.Plan, error)
 
-// planOptions are the flags that all plans have.
+// planOptions are the flags of all plan commands.
 type planOptions struct {
 	mapPath   string
-	writePath string // with %d for the epoch; empty: maps are not written
+	writePath string // contains %d for the epoch; empty: maps are not written
 	timing    shardmap.Timing
 }
 
@@ -52,8 +52,8 @@
 	return c
 }
 
-// command returns the command of a plan, which has at least two arguments. Its answer is no if there is no such plan.
-func (o *planOptions) command(use, short, example string, plan planner) *cobra.Command {
+// command returns a plan command, which has at least two arguments. Its result is negative if no plan is possible.
+func (o *planOptions) command(use, short, example string, plan planFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
 		Short:   short,
@@ -120,10 +120,10 @@
 	return shardmap.ID(id), nil
 }
 
-// printPlan prints a plan, and writes the map of each of its epochs if there is a path for them.
+// printPlan prints a plan. If writePath is set, it also writes the map of each epoch to a file.
 func printPlan(out io.Writer, current *shardmap.Map, plan *shardmap.Plan, writePath string) error {
 	if writePath != "" && strings.Count(writePath, "%d") != 1 {
-		return fmt.Errorf("--write %q: it needs one %%d, for the epoch", writePath)
+		return fmt.Errorf("--write %q must contain %%d exactly once, for the epoch", writePath)
 	}
 	printf(out, "%s, from epoch %d\n", plan.Description, plan.FromEpoch)
 	for i := range plan.Steps {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// conditionsOf are the conditions of a step for people.
+// conditionsOf formats the conditions for starting a step.
 func conditionsOf(step *shardmap.Step) (conditions []string) {
 	if step.MinWait > 0 {
 		conditions = append(conditions, "wait "+step.MinWait.String())
--- a/cmd/rooktrestle/crossings_test.go
+++ b/cmd/rooktrestle/crossings_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// The configuration is reloaded with the names of two classes exchanged. Requests are served by the rules that their name
-// has now: no request takes another's settings by its place in a list.
+// A reload exchanges the names of two classes. New requests must follow the rules that their class name has now; a
+// class index from before the reload would select the settings of the other class.
 func TestReload_ClassesSwapTheirNames(t *testing.T) {
-	breaks := func(_ string, c net.Conn) string { closeQuietly(c); return "" }
-	a, b := newLeaf(t, breaks), newLeaf(t, breaks)
-	p := platformWith(t, platformSettings, a, b) // a second attempt follows within the objective
-	text, err := os.ReadFile(p.conf)
+	breakConnection := func(_ string, c net.Conn) string { closeQuietly(c); return "" }
+	a, b := newLeaf(t, breakConnection), newLeaf(t, breakConnection)
+	p := startPlatformWith(t, platformSettings, a, b) // retries are sent within the objective
+	text, err := os.ReadFile(p.confPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,23 +22,23 @@
 	if changed == string(text) {
 		t.Fatal("nothing changed")
 	}
-	writeFile(t, p.conf, changed)
-	if line := p.hup(); !strings.Contains(line, "configuration reloaded") {
+	writeFile(t, p.confPath, changed)
+	if line := p.reload(); !strings.Contains(line, "configuration reloaded") {
 		t.Errorf("%q", line)
 	}
-	// The class of this name must not run twice now.
+	// This class is non-idempotent now.
 	if status, _ := p.ask("unsafe", "search", onePart); status != 502 {
 		t.Errorf("%d", status)
 	}
-	if sent := append(a.seen(), b.seen()...); len(sent) != 1 {
-		t.Errorf("a query that must not run twice was sent as %q", sent)
+	if sent := append(a.received(), b.received()...); len(sent) != 1 {
+		t.Errorf("parts sent for a non-idempotent query: %q, want one", sent)
 	}
-	// And this one may. Attempts go on until the deadline, as each breaks its connection.
-	if status, _ := p.askWithin(ampleDeadline, "safe", "correction", onePart); status == 400 || status == 404 {
+	// This class is idempotent now. Attempts are repeated until the deadline, as each one's connection breaks.
+	if status, _ := p.askWithin(longDeadline, "safe", "correction", onePart); status == 400 || status == 404 {
 		t.Errorf("%d", status)
 	}
-	if sent := append(a.seen(), b.seen()...); len(sent) < 3 { // its first attempt and another, with the other query's
-		t.Errorf("a query that may be repeated was sent as %q", sent)
+	if sent := append(a.received(), b.received()...); len(sent) < 3 { // two attempts, and that of the other query
+		t.Errorf("an idempotent query was not retried; all parts sent: %q", sent)
 	}
 	p.stop()
 }
--- a/cmd/rooktrestle/fleet_test.go
+++ b/cmd/rooktrestle/fleet_test.go
@@ -14,22 +14,22 @@
 	"testing"
 )
 
-// relay carries gossip between instances: each sends to a socket of its own, and its datagrams come to the others from
-// another. What it does to a datagram is seeded.
+// relay forwards gossip between instances: each instance broadcasts to a socket of its own, and the relay sends its
+// datagrams to the others from a second one. The corruption and duplication of datagrams is seeded.
 type relay struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	cut  map[int]bool   // instances to which nothing is forwarded
-	all  []*net.UDPConn // where instance i sends its broadcasts
-	from []*net.UDPConn // the source of instance i's datagrams
-	to   []*net.UDPAddr // where instance i listens
+	mu          sync.Mutex
+	rng         *rand.Rand
+	blocked     map[int]bool   // instances to which no datagram is forwarded
+	broadcasts  []*net.UDPConn // socket to which instance i sends its broadcasts
+	sources     []*net.UDPConn // socket from which the datagrams of instance i are forwarded
+	listenAddrs []*net.UDPAddr // address at which instance i listens
 }
 
 // gossipPort is the port on which instances listen for gossip.
 const gossipPort = 7946
 
-// reserveGossipAddr returns a UDP address of the loopback range that no other test uses until this one ends, so that an
-// instance's port is known before it starts. A reservation is the TCP port of the same number, held by the test.
+// reserveGossipAddr returns a loopback UDP address that no other test uses until this one ends, so that an instance's
+// port is known before it starts. The reservation is a TCP listener of the test on the same address and port.
 func reserveGossipAddr(t *testing.T) *net.UDPAddr {
 	t.Helper()
 	for {
@@ -46,12 +46,12 @@
 	}
 }
 
-// newRelay returns the relay of n instances.
+// newRelay returns a relay for n instances.
 func newRelay(t *testing.T, n int, seed uint64) *relay {
 	t.Helper()
 	r := &relay{
-		rng: rand.New(rand.NewPCG(seed, 0)),
-		cut: map[int]bool{},
+		rng:     rand.New(rand.NewPCG(seed, 0)),
+		blocked: map[int]bool{},
 	}
 	socket := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -62,9 +62,9 @@
 		return c
 	}
 	for range n {
-		r.all = append(r.all, socket())
-		r.from = append(r.from, socket())
-		r.to = append(r.to, reserveGossipAddr(t))
+		r.broadcasts = append(r.broadcasts, socket())
+		r.sources = append(r.sources, socket())
+		r.listenAddrs = append(r.listenAddrs, reserveGossipAddr(t))
 	}
 	for i := range n {
 		go r.forward(i)
@@ -72,23 +72,23 @@
 	return r
 }
 
-// forward forwards the broadcasts of instance i: to each other one a corrupt copy first, the datagram, and often the
-// datagram again.
+// forward forwards the broadcasts of instance i to all other instances: first a corrupt copy, then the datagram once or
+// twice.
 func (r *relay) forward(i int) {
 	buf := make([]byte, 512)
 	for {
-		n, _, err := r.all[i].ReadFromUDP(buf)
+		n, _, err := r.broadcasts[i].ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		for j := range r.to {
-			if j == i || r.cut[j] {
+		for j := range r.listenAddrs {
+			if j == i || r.blocked[j] {
 				continue
 			}
-			bad := append([]byte(nil), buf[:n]...)
-			bad[r.rng.IntN(n)] ^= byte(1 + r.rng.IntN(255))
-			r.sendTo(i, j, bad)
+			corrupt := append([]byte(nil), buf[:n]...)
+			corrupt[r.rng.IntN(n)] ^= byte(1 + r.rng.IntN(255))
+			r.sendTo(i, j, corrupt)
 			for range 1 + r.rng.IntN(2) {
 				r.sendTo(i, j, buf[:n])
 			}
@@ -97,26 +97,28 @@
 	}
 }
 
-// sendTo sends a datagram from instance i to instance j. An error is a lost datagram, which gossip survives.
-func (r *relay) sendTo(i, j int, datagram []byte) { _, _ = r.from[i].WriteToUDP(datagram, r.to[j]) }
+// sendTo sends a datagram from instance i to instance j. An error is ignored, as gossip tolerates lost datagrams.
+func (r *relay) sendTo(i, j int, datagram []byte) {
+	_, _ = r.sources[i].WriteToUDP(datagram, r.listenAddrs[j])
+}
 
-// startFleet starts n instances of one fleet.
+// startFleet starts the relay's instances as one fleet.
 func startFleet(t *testing.T, r *relay, leaves ...*leafServer) (fleet []*program) {
 	t.Helper()
 	at := newDiscovery(t, leaves...)
 	var peers []string
-	for _, c := range r.from {
+	for _, c := range r.sources {
 		peers = append(peers, strconv.Quote(c.LocalAddr().String()))
 	}
-	settings := strings.Replace(unhurried(len(r.to)), `"limits":{`, `"limits":{"peer_messages":true,`, 1)
-	for i := range r.to {
+	settings := strings.Replace(untimedSettings(len(r.listenAddrs)), `"limits":{`, `"limits":{"peer_messages":true,`, 1)
+	for i := range r.listenAddrs {
 		path := filepath.Join(t.TempDir(), "config.json")
 		keys := fmt.Sprintf(`"name":"n%d","seed":"%x","peer_listen":%q,"peers":[%s],"peers_all":%q`,
-			i, 77+i, r.to[i].String(), strings.Join(peers, ","), r.all[i].LocalAddr().String())
+			i, 77+i, r.listenAddrs[i].String(), strings.Join(peers, ","), r.broadcasts[i].LocalAddr().String())
 		ranked := strings.Replace(settings, `"n_instances"`, fmt.Sprintf(`"rank":%d,"n_instances"`, i), 1)
-		configureAs(t, path, at, ranked, keys)
+		writeConfigWith(t, path, at, ranked, keys)
 		p := start(t, 1, []string{"NODE_CONFIG=" + path, "NODE_DISCOVERY=" + at})
-		p.wait()
+		p.awaitHealthy()
 		fleet = append(fleet, p)
 	}
 	return fleet
@@ -125,10 +127,10 @@
 var gossipText = regexp.MustCompile(`words sent \d+, heard (\d+), bad (\d+);` +
 	`.*servers that lose parts: (\d+), remarks on them heard (\d+)`)
 
-// gossipCounters are an instance's counters of gossip and of outliers.
+// gossipCounters has an instance's counters of gossip and of outliers.
 type gossipCounters struct{ received, corrupt, outliers, observations int }
 
-// gossip returns the counters of gossip. They include all datagrams that the instance had received by then.
+// gossip returns the gossip counters. They include all datagrams that the instance has received so far.
 func (p *program) gossip() (c gossipCounters) {
 	p.t.Helper()
 	_, text := p.get("http://" + p.listen["http"] + "/counters")
@@ -137,20 +139,20 @@
 		p.t.Fatalf("counters: %s", text)
 	}
 	for i, counter := range []*int{&c.received, &c.corrupt, &c.outliers, &c.observations} {
-		*counter, _ = strconv.Atoi(m[i+1]) // digits, by the expression
+		*counter, _ = strconv.Atoi(m[i+1]) // only digits, as the expression matched
 	}
 	return c
 }
 
-// lossyFleet is a fleet of instances with a sound leaf server and one that loses every part.
+// lossyFleet is a fleet of instances with a healthy leaf server and one that fails every part.
 type lossyFleet struct {
 	t         *testing.T
 	instances []*program
 	lossy     *leafServer
-	queries   []int // of each instance
+	queries   []int // number of queries of each instance
 }
 
-// query sends a query of one part to instance i.
+// query sends a query with one part to instance i.
 func (f *lossyFleet) query(i int) {
 	f.t.Helper()
 	f.queries[i]++
@@ -162,9 +164,9 @@
 	}
 }
 
-// partsLost are the parts that instance i has sent to the lossy server.
+// partsLost returns the number of parts that instance i has sent to the lossy server.
 func (f *lossyFleet) partsLost(i int) (parts int) {
-	for _, line := range f.lossy.seen() {
+	for _, line := range f.lossy.received() {
 		if strings.HasPrefix(line, fmt.Sprintf("q%d.", i)) {
 			parts++
 		}
@@ -172,7 +174,7 @@
 	return parts
 }
 
-// loseOnePart sends queries until each of the instances from, ..., to-1 has lost a part.
+// loseOnePart sends queries until each of the instances from, ..., to-1 has lost a part at the lossy server.
 func (f *lossyFleet) loseOnePart(from, to int) {
 	f.t.Helper()
 	for i := from; i < to; i++ {
@@ -182,29 +184,29 @@
 	}
 }
 
-// expectIsolated fails if instance i has received gossip, or takes a server for an outlier.
+// expectIsolated fails the test if instance i has received gossip, or considers a server an outlier.
 func (f *lossyFleet) expectIsolated(i int) {
 	f.t.Helper()
 	if c := f.instances[i].gossip(); c.received != 0 || c.outliers != 0 {
-		f.t.Errorf("the isolated instance has received %d datagrams, and knows %d outliers", c.received, c.outliers)
+		f.t.Errorf("the isolated instance has received %d datagrams, and has %d outliers", c.received, c.outliers)
 	}
 }
 
-// Instances that each lose one part at a server find it together: one that lost none there avoids it, one that is isolated
-// from gossip meets the server by itself. Corrupt datagrams change nothing and are counted, duplicates do no harm. An
-// instance that is killed takes nothing along. Every query is closed once.
+// Instances that each lose one part at a server detect it together by gossip: an instance that lost none there avoids
+// it, and an instance isolated from gossip does not. Corrupt datagrams are counted and ignored, and duplicates and the
+// crash of an instance have no effect. Every query is completed exactly once.
 func TestGossip_InstancesFindALossyServerTogether(t *testing.T) {
-	sound := newLeaf(t, value)
+	healthy := newLeaf(t, answerValue)
 	lossy := newLeaf(t, func(string, net.Conn) string { return "E 0 -\n" })
 	const n = 16
 	const observer, isolated = n - 1, n - 2
 	r := newRelay(t, n, 1)
 	r.mu.Lock()
-	for i := range observer { // each of the others is to lose a part, and would not once it heard of the server
-		r.cut[i] = true
+	for i := range observer { // each of them has to lose a part, and would avoid the server after gossip about it
+		r.blocked[i] = true
 	}
 	r.mu.Unlock()
-	f := &lossyFleet{t: t, instances: startFleet(t, r, sound, lossy), lossy: lossy, queries: make([]int, n)}
+	f := &lossyFleet{t: t, instances: startFleet(t, r, healthy, lossy), lossy: lossy, queries: make([]int, n)}
 	f.loseOnePart(0, 3)
 	f.instances[0].kill()
 	f.loseOnePart(3, isolated)
@@ -214,20 +216,21 @@
 			break
 		}
 		if c.outliers > 1 {
-			t.Fatalf("%d servers taken for lossy", c.outliers)
+			t.Fatalf("%d servers are considered lossy, want 1", c.outliers)
 		}
 	}
 	f.expectIsolated(isolated)
 	for range 60 {
 		f.query(observer)
 	}
-	if lost := f.partsLost(observer); lost > 5 { // one in a hundred may go there, as a half-open request
-		t.Errorf("%d of 60 parts went to a server that others lost parts at", lost)
+	if lost := f.partsLost(observer); lost > 5 { // about one in a hundred is a half-open request to the server
+		t.Errorf("%d of 60 parts were sent to a server at which other instances lost parts", lost)
 	}
-	// The isolated instance meets the server by itself, as all would without gossip; one loss makes no outlier.
+	// Without gossip the isolated instance still uses the server, and one lost part does not make the server an
+	// outlier.
 	f.loseOnePart(isolated, isolated+1)
 	f.expectIsolated(isolated)
-	for _, p := range f.instances[1:] { // all at once: each goes on for a while
+	for _, p := range f.instances[1:] { // all at once, as each shutdown takes a while
 		p.signal(syscall.SIGTERM)
 	}
 	for i, p := range f.instances[1:] {
--- a/cmd/rooktrestle/harness_test.go
+++ b/cmd/rooktrestle/harness_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// The test binary is the program, too: it starts itself.
+// TestMain runs the program instead of the tests if ROOKTRESTLE_PROGRAM is set, so that tests can start their own
+// binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROOKTRESTLE_PROGRAM") != "" {
 		main()
@@ -27,19 +28,19 @@
 
 // program is a running process of rooktrestle.
 type program struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	listen map[string]string // what listens where
-	last   chan string       // its last line of standard error, once it has ended
-	lines  chan string       // its lines that mention the configuration
-	conf   string            // the configuration's file
+	t           *testing.T
+	cmd         *exec.Cmd
+	listen      map[string]string // address of each listener, by protocol
+	lastLine    chan string       // its last line of standard error, sent when it has exited
+	configLines chan string       // its lines of standard error that mention the configuration
+	confPath    string            // path of the configuration file
 }
 
-// start starts the program and waits until it has named so many listeners.
+// start starts the program and waits until it has logged this number of listeners.
 func start(t *testing.T, listeners int, env []string, args ...string) *program {
 	t.Helper()
-	p := &program{t: t, cmd: exec.Command(os.Args[0], args...), listen: map[string]string{}, last: make(chan string, 1),
-		lines: make(chan string, 8)}
+	p := &program{t: t, cmd: exec.Command(os.Args[0], args...), listen: map[string]string{},
+		lastLine: make(chan string, 1), configLines: make(chan string, 8)}
 	p.cmd.Env = append(append(os.Environ(), "ROOKTRESTLE_PROGRAM=1"), env...)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -53,69 +54,69 @@
 		lines, last, faulty := bufio.NewScanner(out), "", false
 		for lines.Scan() {
 			last = lines.Text()
-			if f := listening.FindStringSubmatch(last); f != nil && len(p.listen) < listeners {
+			if f := listenLine.FindStringSubmatch(last); f != nil && len(p.listen) < listeners {
 				if p.listen[f[1]+f[3]] = f[2] + f[4]; len(p.listen) == listeners {
 					close(ready)
 				}
 			}
 			if strings.Contains(last, "configuration") {
-				p.lines <- last
+				p.configLines <- last
 			}
 			if strings.Contains(last, "panic") || strings.Contains(last, "DATA RACE") {
 				faulty = true
 			}
-			if faulty { // the line, and the stack traces below it
-				t.Errorf("the program says: %s", last)
+			if faulty { // the line, and the stack traces after it
+				t.Errorf("the program logged: %s", last)
 			}
 		}
 		if len(p.listen) < listeners {
 			close(ready)
 		}
-		p.last <- last
+		p.lastLine <- last
 	}()
-	t.Cleanup(func() { _, _ = p.cmd.Process.Kill(), p.cmd.Wait() }) // it has ended, unless the test has failed
+	t.Cleanup(func() { _, _ = p.cmd.Process.Kill(), p.cmd.Wait() }) // no effect if the test has stopped it
 	select {
 	case <-ready:
-	case <-time.After(patience):
-		t.Fatalf("the program does not open %d listeners", listeners)
+	case <-time.After(testTimeout):
+		t.Fatalf("the program did not open %d listeners", listeners)
 	}
 	if len(p.listen) < listeners {
-		t.Fatalf("the program ended: %s", <-p.last)
+		t.Fatalf("the program exited early: %s", <-p.lastLine)
 	}
 	return p
 }
 
-// listening is a listener's line: plain on the platform, and structured in a partners' deployment.
-var listening = regexp.MustCompile(`^\S+ listen (\S+) (\S+)$|msg=listening protocol=(\S+) addr=(\S+)`)
+// listenLine matches the log line of a listener: unstructured on the platform, structured in a partners' deployment.
+var listenLine = regexp.MustCompile(`^\S+ listen (\S+) (\S+)$|msg=listening protocol=(\S+) addr=(\S+)`)
 
-// countersAtExit are the counters of queries in the last line.
+// countersAtExit matches the counters of queries in the last log line.
 var countersAtExit = regexp.MustCompile(`taken (\d+); answered: served (\d+) \(partial \d+\), refused (\d+) \(full \d+\), failed (\d+), gone (\d+)`)
 
-// queryCounts are the program's counters of queries at its exit.
+// queryCounts has the program's counters of queries at its exit.
 type queryCounts struct{ received, served, rejected, failed, disconnected int }
 
-// stop ends the program and returns its counters. Each query must have been closed once.
+// stop stops the program by SIGTERM and returns its counters. Each query must have been completed exactly once.
 func (p *program) stop() (counts queryCounts) {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
-	last := <-p.last
+	last := <-p.lastLine
 	if err := p.cmd.Wait(); err != nil {
-		p.t.Fatalf("the program ended with %v: %s", err, last)
+		p.t.Fatalf("the program exited with %v: %s", err, last)
 	}
 	m := countersAtExit.FindStringSubmatch(last)
 	if m == nil {
 		p.t.Fatalf("no counters at exit: %s", last)
 	}
 	for i, counter := range []*int{&counts.received, &counts.served, &counts.rejected, &counts.failed, &counts.disconnected} {
-		*counter, _ = strconv.Atoi(m[i+1]) // digits, by the expression
+		*counter, _ = strconv.Atoi(m[i+1]) // only digits, as the expression matched
 	}
 	if counts.received != counts.served+counts.rejected+counts.failed+counts.disconnected {
-		p.t.Errorf("not every query was closed once: %s", last)
+		p.t.Errorf("not every query was completed exactly once: %s", last)
 	}
 	return counts
 }
 
-// signal sends a signal. A program that has ended is found by stop.
+// signal sends a signal. If the program has exited, stop reports it.
 func (p *program) signal(s os.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -148,33 +149,34 @@
 	return string(text)
 }
 
-// closeQuietly closes what a test has read to its end, or gives up on purpose: an error shows nothing then.
+// closeQuietly closes what a test has read to its end or abandons on purpose, where an error is irrelevant.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// send writes what a test sends. An error shows in the answer, or in its absence.
+// send writes text. It ignores errors, as the test checks the response.
 func send(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// platform starts the program with a stand-in of discovery that lists these leaf servers. No time limit matters.
-func platform(t *testing.T, leaves ...*leafServer) *program {
+// startPlatform starts the program with a fake discovery that lists these leaf servers, and with time limits that no
+// test reaches.
+func startPlatform(t *testing.T, leaves ...*leafServer) *program {
 	t.Helper()
-	return platformWith(t, unhurried(1), leaves...)
+	return startPlatformWith(t, untimedSettings(1), leaves...)
 }
 
-// platformWith starts the program as platform does, with the platform's settings given.
-func platformWith(t *testing.T, settings string, leaves ...*leafServer) *program {
+// startPlatformWith starts the program as startPlatform does, with the given settings.
+func startPlatformWith(t *testing.T, settings string, leaves ...*leafServer) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	discovery := newDiscovery(t, leaves...)
-	configureAs(t, path, discovery, settings, soleInstance)
-	// On the platform the variable names the address of the start for good.
+	writeConfigWith(t, path, discovery, settings, singleInstance)
+	// As on the platform, the variable has the address at the start, and does not change later.
 	p := start(t, 1, []string{"NODE_CONFIG=" + path, "NODE_DISCOVERY=" + discovery})
-	p.conf = path
-	p.wait()
+	p.confPath = path
+	p.awaitHealthy()
 	return p
 }
 
-// wait waits until the program is ready.
-func (p *program) wait() {
+// awaitHealthy waits until GET /healthz reports that the program is ready.
+func (p *program) awaitHealthy() {
 	for status := 0; status != 200; {
 		if resp, err := http.Get("http://" + p.listen["http"] + "/healthz"); err == nil {
 			status = resp.StatusCode
@@ -183,10 +185,10 @@
 	}
 }
 
-// ask sends a query that has all the time it needs, and returns the status and the body.
+// ask sends a query with a deadline that no test reaches, and returns the status and the body.
 func (p *program) ask(id, class, body string) (int, string) {
 	p.t.Helper()
-	return p.askWithin(patience, id, class, body)
+	return p.askWithin(testTimeout, id, class, body)
 }
 
 // askWithin sends a query with a deadline and returns the status and the body.
--- a/cmd/rooktrestle/health.go
+++ b/cmd/rooktrestle/health.go
@@ -11,7 +11,8 @@
 	"rooktrestle/internal/app"
 )
 
-// healthCommand checks the servers of an operator's file. Its answer is no if one of them may not be used.
+// healthCommand returns the command that checks the servers of an operator's file. Its result is negative if any of
+// them is not healthy.
 func healthCommand() *cobra.Command {
 	var options app.HealthOptions
 	c := &cobra.Command{
@@ -33,7 +34,7 @@
 	return c
 }
 
-// stopOnSignal returns a channel that SIGINT or SIGTERM closes. Its goroutine ends with the process.
+// stopOnSignal returns a channel that is closed on SIGINT or SIGTERM. Its goroutine may run until the process exits.
 func stopOnSignal() <-chan struct{} {
 	stop, signals := make(chan struct{}), make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/cmd/rooktrestle/health_test.go
+++ b/cmd/rooktrestle/health_test.go
@@ -14,8 +14,8 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// run runs the program to its end.
-func run(t *testing.T, args ...string) (status int, out, errs string) {
+// runProgram runs the program until it exits.
+func runProgram(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "ROOKTRESTLE_PROGRAM=1")
@@ -29,9 +29,10 @@
 	return cmd.ProcessState.ExitCode(), o.String(), e.String()
 }
 
-// The command checks every server once, prints what each source says and the state that follows, and exits by the answer.
+// The command checks every server once, and prints the result of each check and the resulting state. Its exit status is
+// 1 if a server is not healthy.
 func TestHealthCommand(t *testing.T) {
-	// Checks have a long timeout: the test is of what the command prints, and not of how busy the machine is.
+	// A long timeout, so that a busy machine does not change the results.
 	in, err := deployment.Start(deployment.Options{
 		Replicas:      4,
 		Reach:         2,
@@ -44,14 +45,14 @@
 		t.Fatal(err)
 	}
 	defer in.Stop()
-	status, out, errs := run(t, "health", in.ConfigPath)
+	status, out, errs := runProgram(t, "health", in.ConfigPath)
 	if status != 0 || strings.Count(out, "in service") != 4 || strings.Count(out, "check init") != 2 {
 		t.Errorf("%d %s %s", status, out, errs)
 	}
 	in.Agents[3].Set("up drain #festival", replica.Respond)
 	in.Replica("n0").SetHealth(replica.Health{Status: 500})
-	in.Replica("n1").Kill() // n0 and n1 hold block 0 together
-	status, out, errs = run(t, "health", in.ConfigPath, "--json")
+	in.Replica("n1").Kill() // n0 and n1 are the only replicas of block 0
+	status, out, errs = runProgram(t, "health", in.ConfigPath, "--json")
 	if status != 1 || !strings.Contains(errs, "not every server") {
 		t.Errorf("%d %s", status, errs)
 	}
@@ -77,23 +78,23 @@
 	}
 }
 
-// Each problem of an invalid file is a line, with its own line number.
+// Each problem of an invalid file is printed on a line of its own, with its line number.
 func TestCommands_InvalidFile_LineForEachProblem(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	writeFile(t, bad, "[listen]\nsru = \"x\"\n")
 	for _, args := range [][]string{{"health", bad}, {"check-config", bad}, {"serve", "--front", bad}} {
-		status, _, errs := run(t, args...)
+		status, _, errs := runProgram(t, args...)
 		lines := strings.Split(strings.TrimSpace(errs), "\n")
 		if status != 2 || len(lines) < 3 || !strings.Contains(errs, bad+":2: ") {
 			t.Errorf("%v: %d %s", args, status, errs)
 		}
 	}
-	if status, _, errs := run(t, "serve", "--log-format", "xml"); status != 2 || !strings.Contains(errs, "text or json") {
+	if status, _, errs := runProgram(t, "serve", "--log-format", "xml"); status != 2 || !strings.Contains(errs, "text or json") {
 		t.Errorf("%d %s", status, errs)
 	}
 }
 
-// With --watch what changes is printed as it changes.
+// With --watch, changes of state are printed as they occur.
 func TestHealthCommand_Watch(t *testing.T) {
 	in, err := deployment.Start(deployment.Options{
 		Replicas:      4,
@@ -115,7 +116,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _, _ = cmd.Process.Kill(), cmd.Wait() }() // it goes on for ever
+	defer func() { _, _ = cmd.Process.Kill(), cmd.Wait() }() // with --watch it does not exit by itself
 	d := json.NewDecoder(pipe)
 	for seen := 0; ; seen++ {
 		var w struct{ Server, State string }
--- a/cmd/rooktrestle/main.go
+++ b/cmd/rooktrestle/main.go
@@ -1,5 +1,5 @@
-// Rooktrestle aggregates queries over replicated shards: it takes a query, sends each part to a replica of its shard,
-// and gives one final answer.
+// Rooktrestle aggregates queries over replicated shards: it accepts a query, sends each part to a replica of its shard,
+// and returns one final answer.
 package main
 
 import (
@@ -18,11 +18,11 @@
 
 // Exit statuses.
 const (
-	exitNegative = 1 // the command's answer is no
+	exitNegative = 1 // the command ran, and the result of its check is negative
 	exitFailure  = 2
 )
 
-// errNegative is wrapped by the error of a command whose answer is no.
+// errNegative marks the error of a command that ran and whose check has a negative result, for exitStatus.
 var errNegative = errors.New("no")
 
 func main() {
@@ -39,7 +39,7 @@
 	return exitFailure
 }
 
-// printError prints an error on one line; the problems of a file on a line each.
+// printError prints an error on one line, or each problem of a configuration file on a line of its own.
 func printError(out io.Writer, err error) {
 	var problems config.Problems
 	if !errors.As(err, &problems) || len(problems) <= 1 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// printf writes text for people. The answer of a command is its exit status, so that an error is ignored.
+// printf writes text for users. A failed write is ignored, as scripts use the exit status.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
@@ -62,7 +62,7 @@
 		Short:         "An aggregator of queries over replicated shards",
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		// The platform starts the program without arguments.
+		// Without a subcommand the program serves: the platform starts it without arguments.
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return app.ServePlatform() },
 	}
@@ -78,7 +78,7 @@
 	return root
 }
 
-// serveCommand serves. The logger is set by the time that it runs.
+// serveCommand returns the serve command. The root command sets the logger before the command runs.
 func serveCommand(logger **slog.Logger) *cobra.Command {
 	var front string
 	c := &cobra.Command{
@@ -124,7 +124,7 @@
 	}
 }
 
-// version is the program's name, its module's version and Go's, as far as the build has recorded them.
+// version returns the program's name, and the versions of its module and of Go if the build has recorded them.
 func version() string {
 	text := "rooktrestle"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/rooktrestle/operators_test.go
+++ b/cmd/rooktrestle/operators_test.go
@@ -16,47 +16,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// Operators' terms: servers taken out by hand, and a process that is replaced while it serves.
+// Tests of operators' procedures: servers detached by hand, and a process that is replaced while it serves.
 
-// Ports of the addresses that reserveNode reserves.
+// Ports at the address that newNode reserves.
 const (
 	clientPort  = 3000
 	controlPort = 9800
 )
 
-// node is the place of one instance: its addresses, files and discovery, which the processes that replace each other share.
+// node has what the processes of one instance share while they replace each other: addresses, files and discovery.
 type node struct {
 	t         *testing.T
 	ip        net.IP
 	conf      string
-	temporary string // shared by its processes
+	tempDir   string // state directory of its processes
 	discovery string
-	processes int
+	processes int // started so far
 }
 
-// newNode makes a node of its own addresses with these leaf servers. No time limit matters.
+// newNode returns a node with addresses of its own and these leaf servers, without time limits.
 func newNode(t *testing.T, leaves ...*leafServer) *node {
 	t.Helper()
 	n := &node{
 		t:         t,
 		ip:        reserveGossipAddr(t).IP,
 		conf:      filepath.Join(t.TempDir(), "config.json"),
-		temporary: t.TempDir(),
+		tempDir:   t.TempDir(),
 		discovery: newDiscovery(t, leaves...),
 	}
-	configure(t, n.conf, n.discovery)
+	writeConfig(t, n.conf, n.discovery)
 	return n
 }
 
 func (n *node) address(port int) string { return fmt.Sprintf("%v:%d", n.ip, port) }
 
-// operatedProcess is a process of a node, with its control address.
+// operatedProcess is a process of a node with a control address.
 type operatedProcess struct {
 	*program
 	control string
 }
 
-// start starts a process of the node and waits until it listens for operators and for clients.
+// start starts a process of the node and waits until it listens on its control address and for clients.
 func (n *node) start() operatedProcess {
 	n.t.Helper()
 	control := n.address(controlPort + n.processes)
@@ -66,15 +66,15 @@
 		"NODE_DISCOVERY=" + n.discovery,
 		"NODE_LISTEN=" + n.address(clientPort),
 		"NODE_CONTROL=" + control,
-		"TMPDIR=" + n.temporary,
+		"TMPDIR=" + n.tempDir,
 	})
 	return operatedProcess{program: p, control: control}
 }
 
-// call makes one call at the control address and returns the answer's lines.
+// call sends one command to the control address and returns the lines of the answer.
 func (p operatedProcess) call(line string) []string {
 	p.t.Helper()
-	c, err := net.DialTimeout("tcp", p.control, patience)
+	c, err := net.DialTimeout("tcp", p.control, testTimeout)
 	if err != nil {
 		p.t.Fatalf("%s: %v", line, err)
 	}
@@ -87,7 +87,7 @@
 	return lines
 }
 
-// expect makes a call whose answer is one line that begins with want.
+// expect sends a command whose answer must be one line that begins with want.
 func (p operatedProcess) expect(line, want string) {
 	p.t.Helper()
 	if got := p.call(line); len(got) != 1 || !strings.HasPrefix(got[0], want) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// awaitReady asks until the process serves.
+// awaitReady sends PING until the process reports that it is ready.
 func (p operatedProcess) awaitReady() {
 	p.t.Helper()
 	for {
@@ -108,8 +108,8 @@
 
 const onePart = `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`
 
-// serve sends some queries of one part, which must be served.
-func (p operatedProcess) serve(name string) {
+// mustServe sends queries with one part, which must be served.
+func (p operatedProcess) mustServe(name string) {
 	p.t.Helper()
 	for i := range 20 {
 		if status, text := p.ask(fmt.Sprintf("%s%d", name, i), "search", onePart); status != 200 {
@@ -118,78 +118,80 @@
 	}
 }
 
-// A server that an operator has taken out gets nothing until it is put back, whatever discovery lists.
+// A detached server receives no parts until it is attached, even though discovery lists it in service.
 func TestOperators_DetachedServerGetsNothing(t *testing.T) {
-	a, b := newLeaf(t, value), newLeaf(t, value)
+	a, b := newLeaf(t, answerValue), newLeaf(t, answerValue)
 	p := newNode(t, a, b).start()
 	p.awaitReady()
 	p.expect("DETACH s-0", "done")
-	p.expect("DETACH s-0", "done") // a call that is repeated
+	p.expect("DETACH s-0", "done") // a repeated call succeeds
 	p.expect("DETACH s-77", "error")
-	before := len(a.seen())
-	p.serve("banned")
-	if sent := a.seen()[before:]; len(sent) > 0 {
-		t.Errorf("the server that was taken out got %q", sent)
+	before := len(a.received())
+	p.mustServe("detached")
+	if sent := a.received()[before:]; len(sent) > 0 {
+		t.Errorf("the detached server received %q", sent)
 	}
 	p.expect("ATTACH s-0", "done")
-	for i := 0; len(a.seen()) == before; i++ {
-		p.serve(fmt.Sprintf("back%d.", i))
+	for i := 0; len(a.received()) == before; i++ {
+		p.mustServe(fmt.Sprintf("back%d.", i))
 	}
 	p.stop()
 }
 
-// A second process of the instance serves beside the first, which ends; what an operator has taken out stays out.
+// A second process of the instance serves beside the first, and alone after the first has exited. A server that was
+// detached in the first process remains detached.
 func TestOperators_ReplacedProcessKeepsServing(t *testing.T) {
-	a, b := newLeaf(t, value), newLeaf(t, value)
+	a, b := newLeaf(t, answerValue), newLeaf(t, answerValue)
 	n := newNode(t, a, b)
-	former := n.start()
-	former.awaitReady()
-	former.serve("former")
-	former.expect("DETACH s-0", "done")
-	before := len(a.seen())
+	previous := n.start()
+	previous.awaitReady()
+	previous.mustServe("previous")
+	previous.expect("DETACH s-0", "done")
+	before := len(a.received())
 	next := n.start()
 	next.awaitReady()
-	next.serve("both")
-	former.signal(syscall.SIGTERM)
-	next.serve("ending")
-	former.stop()
-	next.serve("next")
-	if sent := a.seen()[before:]; len(sent) > 0 {
-		t.Errorf("the server that was taken out got %q", sent)
+	next.mustServe("both")
+	previous.signal(syscall.SIGTERM)
+	next.mustServe("ending")
+	previous.stop()
+	next.mustServe("next")
+	if sent := a.received()[before:]; len(sent) > 0 {
+		t.Errorf("the detached server received %q", sent)
 	}
 	if counts := next.stop(); counts.received == 0 {
-		t.Error("the second process got nothing")
+		t.Error("the second process received no query")
 	}
 }
 
-// A call to either process of a replacement holds for both, and a second process that is killed leaves the first serving.
+// During a replacement a call to one process takes effect in both, and the first process still serves after a second
+// one was killed.
 func TestOperators_CallsAndKillsDuringReplacement(t *testing.T) {
-	a, b := newLeaf(t, value), newLeaf(t, value)
+	a, b := newLeaf(t, answerValue), newLeaf(t, answerValue)
 	n := newNode(t, a, b)
-	former := n.start()
-	former.awaitReady()
+	previous := n.start()
+	previous.awaitReady()
 	killed := n.start()
 	killed.kill()
-	<-killed.last
-	former.serve("alone")
+	<-killed.lastLine
+	previous.mustServe("alone")
 	next := n.start()
 	next.awaitReady()
 	next.expect("DETACH s-0", "done")
-	for detached := false; !detached; { // the first process learns of it by the shared folder
-		detached = former.figure("cluster_unhealthy") == 1
+	for detached := false; !detached; { // the first process reads it from the shared directory
+		detached = previous.figure("cluster_unhealthy") == 1
 	}
-	before := len(a.seen())
-	next.serve("both")
-	former.signal(syscall.SIGTERM)
-	next.serve("ending")
-	former.stop()
-	if sent := a.seen()[before:]; len(sent) > 0 {
-		t.Errorf("the server that was taken out got %q", sent)
+	before := len(a.received())
+	next.mustServe("both")
+	previous.signal(syscall.SIGTERM)
+	next.mustServe("ending")
+	previous.stop()
+	if sent := a.received()[before:]; len(sent) > 0 {
+		t.Errorf("the detached server received %q", sent)
 	}
 	next.stop()
 }
 
-// figure reads a figure.
+// figure returns the value of a figure of INFO.
 func (p operatedProcess) figure(name string) int {
 	p.t.Helper()
 	lines := p.call("INFO")
@@ -205,34 +207,34 @@
 			return value
 		}
 	}
-	p.t.Fatalf("%s is not among %q", name, lines)
+	p.t.Fatalf("INFO does not report %s: %q", name, lines)
 	return 0
 }
 
-// The figures are what clients and leaf servers have seen.
+// The figures of INFO match what clients and leaf servers have observed.
 func TestOperators_Figures(t *testing.T) {
-	breaks := func(name string, c net.Conn) string {
+	breakSome := func(name string, c net.Conn) string {
 		if strings.HasPrefix(name, "breaks") {
 			closeQuietly(c)
 			return ""
 		}
-		return value(name, c)
+		return answerValue(name, c)
 	}
-	a, b := newLeaf(t, breaks), newLeaf(t, breaks)
+	a, b := newLeaf(t, breakSome), newLeaf(t, breakSome)
 	n := newNode(t, a, b)
 	p := n.start()
 	p.awaitReady()
-	p.serve("q")
+	p.mustServe("q")
 	for i := range 3 {
 		if status, text := p.ask(fmt.Sprint("breaks", i), "correction", onePart); status != 502 {
 			t.Errorf("%d %s", status, text)
 		}
 	}
 	writeFile(t, n.conf, "{")
-	p.hup()
-	configure(t, n.conf, n.discovery)
-	p.hup()
-	sent := len(a.seen()) + len(b.seen())
+	p.reload()
+	writeConfig(t, n.conf, n.discovery)
+	p.reload()
+	sent := len(a.received()) + len(b.received())
 	for name, want := range map[string]int{
 		"transactions.search.answered":     20,
 		"transactions.correction.answered": 0,
@@ -251,23 +253,23 @@
 	p.stop()
 }
 
-// Clients send their queries and leave while the process is stopped. Nothing of them is forwarded once it goes on: they
-// left long ago.
+// Clients send their queries and disconnect while the process is stopped. After it continues, none of these queries is
+// forwarded.
 func TestStoppedProcess_ForwardsNothingOfClientsThatLeft(t *testing.T) {
 	const clients = 100
 	var forwarded sync.Map
 	leaf := newLeaf(t, func(name string, c net.Conn) string {
 		forwarded.Store(name, true)
-		return value(name, c)
+		return answerValue(name, c)
 	})
-	p := platform(t, leaf)
-	if status, text := p.ask("first", "search", onePart); status != 200 { // there is a connection to the leaf server
+	p := startPlatform(t, leaf)
+	if status, text := p.ask("first", "search", onePart); status != 200 { // establishes a connection to the leaf server
 		t.Fatalf("%d %s", status, text)
 	}
 	p.signal(syscall.SIGSTOP)
 	for i := range clients {
 		c := p.connect()
-		c.mustSend(t, fmt.Sprint("left", i), patientDeadline)
+		c.mustSend(t, fmt.Sprint("left", i), testDeadline)
 		closeQuietly(c)
 	}
 	p.signal(syscall.SIGCONT)
@@ -280,11 +282,11 @@
 		return true
 	})
 	if sent > 0 {
-		t.Errorf("%d of %d queries were forwarded though their clients had left", sent, clients)
+		t.Errorf("%d of %d queries were forwarded after their clients had disconnected", sent, clients)
 	}
 }
 
-// Parts fail, and their clients leave, while the process is stopped. Nothing is sent again for them once it goes on.
+// Parts fail and their clients disconnect while the process is stopped. After it continues, no part is retried.
 func TestStoppedProcess_SendsNothingAgainForClientsThatLeft(t *testing.T) {
 	const clients = 10
 	var attempts atomic.Int64
@@ -293,7 +295,7 @@
 	var answered sync.WaitGroup
 	fails := func(name string, c net.Conn) string {
 		if !strings.HasPrefix(name, "left") {
-			return value(name, c)
+			return answerValue(name, c)
 		}
 		attempts.Add(1)
 		received <- struct{}{}
@@ -303,16 +305,16 @@
 		})
 		return ""
 	}
-	p := platform(t, newLeaf(t, fails), newLeaf(t, fails))
+	p := startPlatform(t, newLeaf(t, fails), newLeaf(t, fails))
 	var open []httpClient
 	for i := range clients {
 		c := p.connect()
-		c.mustSend(t, fmt.Sprint("left", i), patientDeadline)
+		c.mustSend(t, fmt.Sprint("left", i), testDeadline)
 		open = append(open, c)
 		select {
 		case <-received:
-		case <-time.After(patience):
-			t.Fatal("a query is not forwarded")
+		case <-time.After(testTimeout):
+			t.Fatal("a query was not forwarded")
 		}
 	}
 	p.signal(syscall.SIGSTOP)
@@ -321,17 +323,18 @@
 	for _, c := range open {
 		closeQuietly(c)
 	}
-	time.Sleep(100 * time.Millisecond) // longer than a client's connection goes without a look
+	time.Sleep(100 * time.Millisecond) // longer than the interval at which a client's connection is checked
 	p.signal(syscall.SIGCONT)
 	p.stop()
 	if again := attempts.Load() - clients; again > 0 {
-		t.Errorf("%d of %d parts were sent again though their clients had left", again, clients)
+		t.Errorf("%d of %d parts were retried after their clients had disconnected", again, clients)
 	}
 }
 
-// Descriptors run out for a while: connections wait in the listener's queue meanwhile, and are served at once afterwards.
+// The process temporarily has no free file descriptors: new connections wait in the listener's queue, and are served
+// once descriptors are available again.
 func TestDescriptorsRunOut_ListenerGoesOn(t *testing.T) {
-	p := platform(t, newLeaf(t, value))
+	p := startPlatform(t, newLeaf(t, answerValue))
 	if status, text := p.ask("before", "search", onePart); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
@@ -341,14 +344,14 @@
 		t.Fatal(err)
 	}
 	few := limit
-	few.Cur = 3 // fewer than are open: every new one fails
+	few.Cur = 3 // fewer than are open, so that every new one fails
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
 	var waiting []httpClient
 	for i := range 20 {
-		c := p.connect() // by the system alone
-		c.mustSend(t, fmt.Sprint("waits", i), patientDeadline)
+		c := p.connect() // accepted by the kernel only
+		c.mustSend(t, fmt.Sprint("waits", i), testDeadline)
 		waiting = append(waiting, c)
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
--- a/cmd/rooktrestle/partners_standins_test.go
+++ b/cmd/rooktrestle/partners_standins_test.go
@@ -9,7 +9,7 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// newArchive returns an archive whose nodes tell of corrections begun and of clients that left them.
+// newArchive returns an archive whose replicas report started corrections and clients that disconnect.
 func newArchive(t *testing.T) *replica.Archive {
 	a := replica.NewArchive(4)
 	a.CorrectionBegun, a.ClientLeft = make(chan string, 8), make(chan string, 8)
@@ -17,8 +17,8 @@
 	return a
 }
 
-// serve starts a stand-in and returns its address.
-func serve(t *testing.T, start func(name string, seed uint64) (*replica.Server, error), name string) string {
+// startStandIn starts a fake server and returns its address.
+func startStandIn(t *testing.T, start func(name string, seed uint64) (*replica.Server, error), name string) string {
 	t.Helper()
 	n, err := start(name, 1)
 	if err != nil {
@@ -28,15 +28,15 @@
 	return n.Addr()
 }
 
-// origin is a Z39.50 client whose failures are the test's.
+// origin is a Z39.50 client whose errors fail the test.
 type origin struct {
 	*client.Origin
 	t *testing.T
 }
 
-func dialZ(t *testing.T, addr, user string) *origin {
+func dialZ3950(t *testing.T, addr, user string) *origin {
 	t.Helper()
-	o, err := client.Dial(addr, user, 20*time.Second) // answers come long before
+	o, err := client.Dial(addr, user, 20*time.Second) // longer than any answer takes
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rooktrestle/partners_test.go
+++ b/cmd/rooktrestle/partners_test.go
@@ -18,8 +18,8 @@
 	"rooktrestle/internal/testbed/replica"
 )
 
-// partnersConf is the operator's file of partners, without the servers; the arguments are the latency objective and the
-// deadline of each class. Connections and checks have all the time they need.
+// partnersConf is the operator's file that startPartners uses, without the servers. Its arguments are the latency
+// objective and the deadline of each class. The time limits of connections and checks are longer than any test.
 const partnersConf = `name = "p"
 [listen]
 sru = "127.0.0.1:0"
@@ -71,29 +71,29 @@
 tenant = "tv"
 `
 
-// Deadlines of tests that wait until one has passed.
+// Deadlines of tests that wait until one has expired.
 const (
-	briefDeadline = 2 * time.Second  // nothing has to happen before it
-	ampleDeadline = 10 * time.Second // parts are sent, and answered, before it
+	shortDeadline = 2 * time.Second  // no event has to occur before it
+	longDeadline  = 10 * time.Second // parts must be sent and answered before it
 )
 
-// maxLateAnswers is how many queries may fail as the loop came too late for a partial answer.
-const maxLateAnswers = 4
+// maxDelayedLoopFailures is how many queries may fail because the loop ran too late for a partial answer.
+const maxDelayedLoopFailures = 4
 
-// partnersOptions are what a test changes in the partners' deployment.
+// partnersOptions are a test's changes to the deployment of startPartners.
 type partnersOptions struct {
-	deadline  time.Duration     // of all classes; 0: patience
-	addresses map[string]string // of servers that are no replica of the archive, by ID
-	checks    map[string]string // health checks, as lines of the operator's file, by the server's ID
+	deadline  time.Duration     // of all classes; 0: testTimeout
+	addresses map[string]string // of servers that are not replicas of the archive, by ID
+	checks    map[string]string // lines of the operator's file with health checks, by server ID
 }
 
-// partners starts a partners' deployment with two SRU servers and two Z39.50 targets on the ring: shard 0 is held by a
-// and b, 1 by b and c, 2 by c and d, 3 by d and a.
-func partners(t *testing.T, archive *replica.Archive, options partnersOptions) *program {
+// startPartners starts a partners' deployment with two SRU servers and two Z39.50 targets on the ring: the replicas of
+// shard 0 are a and b, of shard 1 b and c, of shard 2 c and d, of shard 3 d and a.
+func startPartners(t *testing.T, archive *replica.Archive, options partnersOptions) *program {
 	t.Helper()
 	deadline := options.deadline
 	if deadline == 0 {
-		deadline = patience
+		deadline = testTimeout
 	}
 	file := &strings.Builder{}
 	writeTo(file, partnersConf, deadline/2, deadline)
@@ -104,7 +104,7 @@
 		}
 		addr := options.addresses[id]
 		if addr == "" {
-			addr = serve(t, startReplica, id)
+			addr = startStandIn(t, startReplica, id)
 		}
 		writeTo(file, "[[server]]\nid = %q\nprotocol = %q\naddr = %q\ncell = %d\n", id, protocol, addr, cell)
 		writeTo(file, "database = \"block-%%d\"\n%s\n", options.checks[id])
@@ -112,11 +112,11 @@
 	path := filepath.Join(t.TempDir(), "partners.toml")
 	writeFile(t, path, file.String())
 	p := start(t, 4, nil, "serve", "--front", path)
-	p.conf = path
+	p.confPath = path
 	return p
 }
 
-// writeTo formats text into a builder, which returns no error.
+// writeTo formats text into a builder, whose Write never fails.
 func writeTo(b *strings.Builder, format string, args ...any) { _, _ = fmt.Fprintf(b, format, args...) }
 
 func (p *program) sru(database, query string, more ...string) (int, string) {
@@ -157,10 +157,10 @@
 	}
 }
 
-// One search goes out in both protocols and comes back as one answer, over either.
+// A search is sent to servers of both protocols, and its parts are merged into one SRU response.
 func TestSRUSearchReachesBothProtocols(t *testing.T) {
 	a := newArchive(t)
-	p := partners(t, a, partnersOptions{})
+	p := startPartners(t, a, partnersOptions{})
 	status, text := p.sru("captions", `dc.title = "budget speech" and dc.language = ne`)
 	if status != 200 {
 		t.Error(status)
@@ -196,18 +196,18 @@
 	}
 }
 
-// An association keeps its named result sets over several searches, and no other sees them.
+// An association retains its named result sets across searches, and other associations cannot access them.
 func TestZ3950KeepsStateAcrossSearches(t *testing.T) {
 	a := newArchive(t)
-	p := partners(t, a, partnersOptions{})
-	o := dialZ(t, p.listen["z3950"], "editor")
+	p := startPartners(t, a, partnersOptions{})
+	o := dialZ3950(t, p.listen["z3950"], "editor")
 	searchTwice(t, a, o)
 	presentRecords2To4(t, o, "one")
 	presentRecords2To4(t, o, "two")
 	expectDiagnostics(t, o)
-	other := dialZ(t, p.listen["z3950"], "")
+	other := dialZ3950(t, p.listen["z3950"], "")
 	if r := other.ask(ber.PresentAPDU("one", 1, 1)); ber.DiagnosticCode(r) != 30 {
-		t.Errorf("another association sees the set: %+v", r)
+		t.Errorf("another association has access to the result set: %+v", r)
 	}
 	deletion := ber.Constructed(26, ber.Integer(32, 0), ber.Constructed(-16, ber.Primitive(31, "one")))
 	if r := o.ask(deletion); r.Tag != 27 || r.Child(0).Int() != 0 {
@@ -233,7 +233,7 @@
 	}
 }
 
-// searchTwice makes the result set "one" by a search, and "two" by a search within it.
+// searchTwice creates the result set "one" by a search, and "two" by a search within it.
 func searchTwice(t *testing.T, a *replica.Archive, o *origin) {
 	t.Helper()
 	r := o.ask(ber.SearchAPDU("one", "captions", ber.TermOperand(4, "budget")))
@@ -256,11 +256,11 @@
 		}
 	}
 	if both != 4 {
-		t.Errorf("the second search stood for %q", a.Queries())
+		t.Errorf("the second search was not sent as the combination of both; queries: %q", a.Queries())
 	}
 }
 
-// presentRecords2To4 presents three records of a result set, from the second on.
+// presentRecords2To4 presents records 2 to 4 of a result set.
 func presentRecords2To4(t *testing.T, o *origin, set string) {
 	t.Helper()
 	r := o.ask(ber.PresentAPDU(set, 2, 3))
@@ -273,7 +273,7 @@
 	}
 }
 
-// expectDiagnostics checks the Bib-1 diagnostics of bad requests, in the presence of the sets "one" and "two".
+// expectDiagnostics checks the Bib-1 diagnostics of invalid requests, if the result sets "one" and "two" exist.
 func expectDiagnostics(t *testing.T, o *origin) {
 	t.Helper()
 	presentAsMARC := ber.Constructed(24,
@@ -291,12 +291,12 @@
 	}
 }
 
-// A client that leaves half way through a correction: the server is let go, nothing is sent again, and the
-// query is closed once.
+// A client disconnects during a correction: the connection to the server is closed, the correction is not retried, and
+// the query is completed exactly once.
 func TestSRUCorrectionCancelledHalfWay(t *testing.T) {
 	a := newArchive(t)
 	a.OnCorrection = func(string, string) string { return "hang" }
-	p := partners(t, a, partnersOptions{})
+	p := startPartners(t, a, partnersOptions{})
 	for _, id := range []string{"0:x", "1:x", "2:x", "3:x"} {
 		c, err := net.Dial("tcp", p.listen["sru"])
 		if err != nil {
@@ -308,7 +308,7 @@
 		server := <-a.CorrectionBegun
 		closeQuietly(c)
 		if left := <-a.ClientLeft; left != server {
-			t.Errorf("%s was let go, not %s", left, server)
+			t.Errorf("the connection to %s was closed, want that to %s", left, server)
 		}
 	}
 	if n := p.stop(); n != (queryCounts{received: 4, disconnected: 4}) {
@@ -321,12 +321,12 @@
 	}
 }
 
-// The same over Z39.50: by a cancel, by a Close, and by leaving.
+// The same over Z39.50, by a cancel, a Close, and a disconnect.
 func TestZ3950CorrectionCancelledHalfWay(t *testing.T) {
 	a := newArchive(t)
 	a.OnCorrection = func(string, string) string { return "hang" }
-	p := partners(t, a, partnersOptions{})
-	o := dialZ(t, p.listen["z3950"], "")
+	p := startPartners(t, a, partnersOptions{})
+	o := dialZ3950(t, p.listen["z3950"], "")
 	o.send(ber.UpdateAPDU("0:z"))
 	<-a.CorrectionBegun
 	r := o.ask(ber.Constructed(32, ber.Integer(46, 3)))
@@ -340,7 +340,7 @@
 		t.Errorf("%+v", r)
 	}
 	<-a.ClientLeft
-	o = dialZ(t, p.listen["z3950"], "")
+	o = dialZ3950(t, p.listen["z3950"], "")
 	o.send(ber.UpdateAPDU("2:z"))
 	<-a.CorrectionBegun
 	o.Close()
@@ -355,7 +355,8 @@
 	}
 }
 
-// A correction that may have run fails and is not sent again, whether its server breaks off or stays silent.
+// A correction that may have run fails and is not retried, whether its server breaks the connection or does not
+// respond.
 func TestCorrectionsThatMayHaveRun(t *testing.T) {
 	a := newArchive(t)
 	behaviors := map[byte]string{
@@ -364,14 +365,14 @@
 		'r': "reject",
 	}
 	a.OnCorrection = func(_, id string) string { return behaviors[id[2]] }
-	p := partners(t, a, partnersOptions{})
+	p := startPartners(t, a, partnersOptions{})
 	for _, id := range []string{"0:break", "1:break", "2:break", "3:break"} {
 		contains(t, p.correct(id), "<operationStatus>fail<", "diagnostic/1/1<", "failed")
 	}
 	contains(t, p.correct("1:reject"), "<operationStatus>fail<")
 	contains(t, p.correct("2:good"), "<operationStatus>success<")
 	p.stop()
-	p = partners(t, a, partnersOptions{deadline: ampleDeadline})
+	p = startPartners(t, a, partnersOptions{deadline: longDeadline})
 	contains(t, p.correct("0:hang"), "<operationStatus>fail<", "diagnostic/1/1<", "timed out")
 	p.stop()
 	if len(a.CorrectionCounts()) != 7 {
@@ -384,19 +385,20 @@
 	}
 }
 
-// Deadlines and partial answers: servers that stay silent leave a marked part of an answer, or a diagnostic.
+// Unresponsive servers result in a partial answer that is marked as such, or in a diagnostic.
 func TestDeadlinesAndPartialAnswers(t *testing.T) {
 	a := newArchive(t)
-	// One shard only, or by the choice of replicas less than half of the parts might be in.
+	// Only one shard is unresponsive: with more, the chosen replicas might answer less than half of the parts.
 	a.OnSearch = func(base string) string { return map[string]string{"block-0": "hang"}[base] }
-	p := partners(t, a, partnersOptions{deadline: ampleDeadline})
-	// The core fails a query at its deadline, and so it does if the system ran the loop late by more than the margin in
-	// which the partial answer is made. Such a query, and no other outcome, is followed by another. That a loop which is on
-	// time never comes to this is checked by the aggregator's TestCore_PartialAnswerLeavesBeforeTheDeadline.
+	p := startPartners(t, a, partnersOptions{deadline: longDeadline})
+	// The core fails a query at its deadline. That also happens if the operating system delays the loop by more than
+	// the margin before the deadline in which the partial answer is sent. Only after such a failure is the query
+	// repeated. TestCore_PartialAnswerLeavesBeforeTheDeadline of the aggregator checks that it never occurs if the loop
+	// is on time.
 	text, failed := "", 0
 	for {
 		_, text = p.sru("coverage", "x")
-		if failed == maxLateAnswers || !strings.Contains(text, "<details>timed out<") {
+		if failed == maxDelayedLoopFailures || !strings.Contains(text, "<details>timed out<") {
 			break
 		}
 		failed++
@@ -408,13 +410,13 @@
 	if n := p.stop(); n != (queryCounts{received: failed + 1, served: 1, failed: failed}) {
 		t.Error(n)
 	}
-	p = partners(t, a, partnersOptions{deadline: briefDeadline})
+	p = startPartners(t, a, partnersOptions{deadline: shortDeadline})
 	a.SetOnSearch(func(string) string { return "hang" })
 	status, text := p.sru("coverage", "x")
 	if contains(t, text, "<diagnostic ", "<numberOfRecords>0<"); status != 200 && status != 503 {
 		t.Error(status)
 	}
-	o := dialZ(t, p.listen["z3950"], "")
+	o := dialZ3950(t, p.listen["z3950"], "")
 	r := o.ask(ber.SearchAPDU("s", "coverage", ber.TermOperand(4, "x")))
 	if ber.DiagnosticCode(r) == 0 || r.Child(22).Int() != 0 {
 		t.Errorf("%+v", r)
@@ -424,13 +426,14 @@
 	}
 }
 
-// Dead servers: nothing was written, so a correction goes to the other replica, once.
+// Servers refuse connections: as nothing was written, a correction is sent to the other replica, and runs once.
 func TestDeadServers(t *testing.T) {
 	a := newArchive(t)
-	// Ports that the system gives to nobody. One that a listener has just freed may be another process's by now.
-	dead := map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"}
-	p := partners(t, a, partnersOptions{deadline: ampleDeadline, addresses: dead})
-	for _, id := range []string{"1:dead", "2:dead", "3:dead"} { // each has one sound holder at least
+	// Ports that the system never assigns. The port of a listener that was just closed could be in use by another
+	// process.
+	unreachable := map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"}
+	p := startPartners(t, a, partnersOptions{deadline: longDeadline, addresses: unreachable})
+	for _, id := range []string{"1:dead", "2:dead", "3:dead"} { // each shard has at least one reachable replica
 		if contains(t, p.correct(id), "<operationStatus>success<"); a.CorrectionCounts()[id] != 1 {
 			t.Errorf("%s ran %d times", id, a.CorrectionCounts()[id])
 		}
@@ -442,10 +445,10 @@
 	p.stop()
 }
 
-// Bad units end their association with a Close, and no other.
+// An invalid unit closes its own association with a Close, and no other association.
 func TestBadUnits(t *testing.T) {
-	p := partners(t, newArchive(t), partnersOptions{})
-	good := dialZ(t, p.listen["z3950"], "")
+	p := startPartners(t, newArchive(t), partnersOptions{})
+	good := dialZ3950(t, p.listen["z3950"], "")
 	for name, unit := range map[string]string{
 		"garbage":  "GET / HTTP/1.1\r\n\r\n",
 		"no init":  ber.SearchAPDU("x", "captions", ber.TermOperand(4, "x")),
@@ -462,13 +465,13 @@
 			}
 			o = &origin{raw, t}
 		} else {
-			o = dialZ(t, p.listen["z3950"], "")
+			o = dialZ3950(t, p.listen["z3950"], "")
 		}
 		if r := o.ask(unit); r.Tag != 48 || r.Child(211).Int() != 6 {
 			t.Errorf("%s: %+v", name, r)
 		}
 		if _, err := o.RoundTrip(""); err == nil {
-			t.Errorf("%s: the association goes on", name)
+			t.Errorf("%s: the association is still open", name)
 		}
 		o.Close()
 	}
@@ -505,17 +508,17 @@
 			}
 		}
 	}()
-	p := partners(t, a, partnersOptions{checks: map[string]string{
+	p := startPartners(t, a, partnersOptions{checks: map[string]string{
 		"b": fmt.Sprintf("agent = %q", agent.Addr()),
 		"c": `health = "/healthz"`,
 	}})
-	for range 3 { // the first result has been applied before the third check
+	for range 3 { // the first result is applied before the third check starts
 		<-checked
 	}
 	for i := range 6 {
 		contains(t, p.correct(fmt.Sprintf("1:line%d", i)), "<operationStatus>success<")
 		if server := <-a.CorrectionBegun; server != "c" {
-			t.Errorf("%s was sent a correction while it drains", server)
+			t.Errorf("%s received a correction; want c, as b is draining", server)
 		}
 	}
 	awaitFullWeight(t, func() string {
@@ -540,12 +543,12 @@
 	p.stop()
 }
 
-// reducedWeight is the report of a program that is ready and whose event loop was late: on a busy machine the system runs
-// it late, and the weight then rises by half of the full one a second.
+// reducedWeight matches the report of a program that is ready but whose loop was delayed. On a busy machine the
+// operating system delays the loop; after that, the weight rises by half of the full weight per second.
 var reducedWeight = regexp.MustCompile(`^up ready \d{1,2}%( #the loop is \S+ late)?\n$`)
 
-// awaitFullWeight polls the program's report until it is ready with its full weight. Until then it may report nothing
-// else but a reduced weight.
+// awaitFullWeight polls the program's report until it is ready with its full weight. Until then only a report of a
+// reduced weight is allowed.
 func awaitFullWeight(t *testing.T, report func() string) {
 	t.Helper()
 	for {
@@ -556,23 +559,23 @@
 		if !reducedWeight.MatchString(text) {
 			t.Fatalf("%q", text)
 		}
-		time.Sleep(reportInterval)
+		time.Sleep(readinessInterval)
 	}
 }
 
-// reportInterval is the time in which the program evaluates its readiness anew.
-const reportInterval = 50 * time.Millisecond
+// readinessInterval is the interval at which the program evaluates its readiness.
+const readinessInterval = 50 * time.Millisecond
 
-// SIGHUP does not end the program; it logs whether the file could be served.
+// SIGHUP does not stop the program; it logs whether the file is valid.
 func TestPartners_SIGHUP_ValidatesTheFile(t *testing.T) {
 	a := newArchive(t)
-	p := partners(t, a, partnersOptions{})
+	p := startPartners(t, a, partnersOptions{})
 	for _, want := range []string{"configuration is valid", "configuration is invalid"} {
 		p.signal(syscall.SIGHUP)
-		if line := <-p.lines; !strings.Contains(line, want) {
+		if line := <-p.configLines; !strings.Contains(line, want) {
 			t.Errorf("%q, want %q", line, want)
 		}
-		writeFile(t, p.conf, "name =")
+		writeFile(t, p.confPath, "name =")
 	}
 	if _, text := p.sru("captions", "x"); !strings.Contains(text, "line of block-0") {
 		t.Error(text)
--- a/cmd/rooktrestle/platform_standins_test.go
+++ b/cmd/rooktrestle/platform_standins_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// leafServer is a stand-in of a leaf server: act answers its parts.
+// leafServer is a fake leaf server, which answers parts by calling act.
 type leafServer struct {
 	addr  string
 	mu    sync.Mutex
@@ -80,7 +80,7 @@
 	}
 }
 
-func (l *leafServer) seen() []string {
+func (l *leafServer) received() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.parts...)
@@ -97,28 +97,28 @@
  "load_info":{"fields":["pending"],"how":"pull"},"n_instances":1,"orgs":[{"name":"tv","quota_per_s":100,"share":1}],
  "rules":{"cold":16000000,"cold_from":0.28,"fall":2000000,"tip_multiple":3},"tick":5000,"zone":0,"zones":["a","b"]}`
 
-// patience is a time limit that no test reaches, however busy the machine is.
-const patience = time.Minute
+// testTimeout is a time limit that no test reaches, even on a busy machine.
+const testTimeout = time.Minute
 
-// deadlineHeader is a deadline as the value of X-Deadline, in seconds.
+// deadlineHeader formats a deadline as the value of X-Deadline, in seconds.
 func deadlineHeader(deadline time.Duration) string {
 	return strconv.FormatFloat(deadline.Seconds(), 'f', 1, 64)
 }
 
-// patientDeadline is patience as the value of X-Deadline.
-var patientDeadline = deadlineHeader(patience)
+// testDeadline is testTimeout as a value of X-Deadline.
+var testDeadline = deadlineHeader(testTimeout)
 
-// timeLimits are the settings, in microseconds, that would make an answer depend on how fast the machine is.
+// timeLimits matches the settings, in microseconds, by which an answer would depend on the speed of the machine.
 var timeLimits = regexp.MustCompile(`"(aim|deadline|connect_timeout)":\d+`)
 
-// unhurried is the platform's settings for n instances, with all of timeLimits so long that nothing depends on them.
-func unhurried(n int) string {
-	patient := fmt.Sprintf(`"$1":%d`, patience.Microseconds())
+// untimedSettings returns the platform's settings for n instances, with all of timeLimits set to testTimeout.
+func untimedSettings(n int) string {
+	patient := fmt.Sprintf(`"$1":%d`, testTimeout.Microseconds())
 	settings := timeLimits.ReplaceAllString(platformSettings, patient)
 	return strings.Replace(settings, `"n_instances":1`, fmt.Sprintf(`"n_instances":%d`, n), 1)
 }
 
-// listOf is discovery's list of leaf servers, of which the one with an index drains; negative: none.
+// listOf returns the endpoint list of leaf servers, of which the one at index drains is draining; negative: none.
 func listOf(leaves []*leafServer, drains int) string {
 	var lines []string
 	for i, l := range leaves {
@@ -133,7 +133,7 @@
 	return fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, strings.Join(lines, ","))
 }
 
-// newDiscovery starts a stand-in of discovery that lists these leaf servers.
+// newDiscovery starts a fake discovery service that lists these leaf servers, and returns its address.
 func newDiscovery(t *testing.T, leaves ...*leafServer) string {
 	list := listOf(leaves, -1)
 	disco := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -152,16 +152,16 @@
 	return strings.TrimPrefix(disco.URL, "http://")
 }
 
-// soleInstance are the configuration's keys of an instance without others.
-const soleInstance = `"name":"n0","seed":"8c1f30d27a5be964"`
+// singleInstance has the configuration keys of an instance without peers.
+const singleInstance = `"name":"n0","seed":"8c1f30d27a5be964"`
 
-// configure writes the platform's configuration of a sole instance without time limits that matter.
-func configure(t *testing.T, path, discovery string) {
-	configureAs(t, path, discovery, unhurried(1), soleInstance)
+// writeConfig writes the platform's configuration of a single instance without time limits.
+func writeConfig(t *testing.T, path, discovery string) {
+	writeConfigWith(t, path, discovery, untimedSettings(1), singleInstance)
 }
 
-// configureAs writes a configuration with these settings and further keys.
-func configureAs(t *testing.T, path, discovery, settings, keys string) {
+// writeConfigWith writes a configuration with these settings and additional keys.
+func writeConfigWith(t *testing.T, path, discovery, settings, keys string) {
 	conf := fmt.Sprintf(`{%s,"listen":"127.0.0.1:0","discovery":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},
 		"known":{"version":0,"full":true,"servers":[]},
@@ -169,11 +169,11 @@
 	writeFile(t, path, conf)
 }
 
-// valueOf is the value that stand-ins make for a part.
+// valueOf returns the value with which fake leaf servers answer a part.
 func valueOf(name string) string {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name) // a hash's Write returns no error
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-func value(name string, _ net.Conn) string { return "S 7 -\n" + valueOf(name) }
+func answerValue(name string, _ net.Conn) string { return "S 7 -\n" + valueOf(name) }
--- a/cmd/rooktrestle/program_test.go
+++ b/cmd/rooktrestle/program_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestPlatform_Serves(t *testing.T) {
-	a, b := newLeaf(t, value), newLeaf(t, value)
-	p := platform(t, a, b)
+	a, b := newLeaf(t, answerValue), newLeaf(t, answerValue)
+	p := startPlatform(t, a, b)
 	status, text := p.ask("q1", "search", `{"slices":[{"slice":0,"mass":0.5},{"slice":3,"mass":0.5}],
 		"filter":"बजेट"}`)
 	var got struct {
@@ -33,7 +33,7 @@
 	if !got.Entire || len(got.Items) != 2 || got.Items[1].Body != valueOf("q1.3") {
 		t.Errorf("%d %s", status, text)
 	}
-	for _, line := range append(a.seen(), b.seen()...) {
+	for _, line := range append(a.received(), b.received()...) {
 		if !regexp.MustCompile(`^q1\.[03] [03] d=\d+ 12 बजेट$`).MatchString(line) {
 			t.Errorf("part %q", line)
 		}
@@ -48,7 +48,7 @@
 		return map[byte]string{'0': "S 5", '1': "S 9", '2': "S 1", '3': "S 8"}[name[3]] + " -\n" + valueOf(name)
 	}
 	a, b := newLeaf(t, score), newLeaf(t, score)
-	p := platform(t, a, b)
+	p := startPlatform(t, a, b)
 	_, text := p.ask("q2", "report", `{"slices":[{"slice":0,"mass":0.25},{"slice":1,"mass":0.25},
 		{"slice":2,"mass":0.25},{"slice":3,"mass":0.25}],"filter":"x"}`)
 	contains(t, text, `"entire":true`, valueOf("q2.1.phase2"), valueOf("q2.3.phase2"))
@@ -56,7 +56,7 @@
 		t.Error(text)
 	}
 	second := 0
-	for _, line := range append(a.seen(), b.seen()...) {
+	for _, line := range append(a.received(), b.received()...) {
 		if strings.Contains(line, ".phase2 ") {
 			if second++; !regexp.MustCompile(`^q2\.[13]\.phase2 [13] d=\d+,from=0\+1\+2\+3,whole=1 1 x$`).MatchString(line) {
 				t.Errorf("part %q", line)
@@ -64,20 +64,20 @@
 		}
 	}
 	if second != 2 {
-		t.Errorf("%d parts of the second step", second)
+		t.Errorf("%d follow-up parts, want 2", second)
 	}
 	p.stop()
 }
 
-// A correction whose connection breaks after it was written may have run: it fails, and is never sent again.
+// A correction whose connection breaks after it was written may have run: it fails, and is never retried.
 func TestPlatform_CorrectionIsNotSentTwice(t *testing.T) {
-	breaks := func(_ string, c net.Conn) string { closeQuietly(c); return "" }
-	a, b := newLeaf(t, breaks), newLeaf(t, breaks)
-	p := platform(t, a, b)
+	breakConnection := func(_ string, c net.Conn) string { closeQuietly(c); return "" }
+	a, b := newLeaf(t, breakConnection), newLeaf(t, breakConnection)
+	p := startPlatform(t, a, b)
 	if status, _ := p.ask("q3", "correction", `{"slices":[{"slice":1,"mass":1}],"filter":"x"}`); status != 502 {
 		t.Errorf("status %d", status)
 	}
-	if sent := append(a.seen(), b.seen()...); len(sent) != 1 {
+	if sent := append(a.received(), b.received()...); len(sent) != 1 {
 		t.Errorf("sent %q", sent)
 	}
 	if n := p.stop(); n != (queryCounts{received: 1, failed: 1}) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// A frame that cannot be read ends its connection and the attempts on it; a search goes elsewhere.
+// An invalid frame closes its connection and fails the attempts on it; a search is retried on another connection.
 func TestPlatform_InvalidFrame(t *testing.T) {
 	bad := true
 	var mu sync.Mutex
@@ -97,9 +97,9 @@
 			send(c, "\xff\xff\xff\xff5")
 			return ""
 		}
-		return value(name, c)
+		return answerValue(name, c)
 	}
-	p := platform(t, newLeaf(t, first), newLeaf(t, first))
+	p := startPlatform(t, newLeaf(t, first), newLeaf(t, first))
 	status, text := p.ask("q4", "search", `{"slices":[{"slice":1,"mass":1}],"filter":"x"}`)
 	if status != 200 || !strings.Contains(text, valueOf("q4.1")) {
 		t.Errorf("%d %s", status, text)
@@ -109,34 +109,34 @@
 
 const goodBody = `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`
 
-// rawHead are header lines of a valid query.
-var rawHead = "X-Request-Id: z\r\nX-Tenant: tv\r\nX-Deadline: " + patientDeadline + "\r\n"
+// rawHeaders has header lines of a valid query.
+var rawHeaders = "X-Request-Id: z\r\nX-Tenant: tv\r\nX-Deadline: " + testDeadline + "\r\n"
 
-// chunkedRequest is a valid query whose body comes in chunks.
-var chunkedRequest = "POST /search HTTP/1.1\r\n" + rawHead + "Transfer-Encoding: chunked\r\n\r\n" +
+// chunkedRequest is a valid query with a chunked body.
+var chunkedRequest = "POST /search HTTP/1.1\r\n" + rawHeaders + "Transfer-Encoding: chunked\r\n\r\n" +
 	fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(goodBody), goodBody)
 
-// rawQuery is a query as it is sent.
+// rawQuery formats a query as an HTTP request.
 func rawQuery(deadline, id, body string) string {
 	return fmt.Sprintf("POST /search HTTP/1.1\r\nX-Request-Id: %s\r\nX-Tenant: tv\r\nX-Deadline: %s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", id, deadline, len(body), body)
 }
 
-// slicesBody is a query's body with this list of slices.
+// slicesBody formats a query's body with a list of slices.
 func slicesBody(list string) string { return fmt.Sprintf(`{"slices":[%s],"filter":"x"}`, list) }
 
-// requestTests are requests with the status of their responses.
+// requestTests has requests and the statuses of their responses.
 var requestTests = []struct{ name, request, want string }{
 	{name: "an unknown path", request: "POST /nothing HTTP/1.1\r\nContent-Length: 0\r\n\r\n", want: "404"},
 	{name: "a method that is not allowed", request: "GET /search HTTP/1.1\r\n\r\n", want: "405"},
 	{
 		name:    "an empty object",
-		request: "POST /search HTTP/1.1\r\nContent-Length: 2\r\n" + rawHead + "\r\n{}",
+		request: "POST /search HTTP/1.1\r\nContent-Length: 2\r\n" + rawHeaders + "\r\n{}",
 		want:    "400",
 	},
 	{
 		name:    "a body that is too long",
-		request: "POST /search HTTP/1.1\r\n" + rawHead + "Content-Length: 90000\r\n\r\n",
+		request: "POST /search HTTP/1.1\r\n" + rawHeaders + "Content-Length: 90000\r\n\r\n",
 		want:    "413",
 	},
 	{
@@ -152,45 +152,45 @@
 	{name: "no HTTP", request: "nonsense\r\n\r\n", want: "400"},
 	{name: "a hexadecimal deadline", request: rawQuery("0x1p0", "a", goodBody), want: "400"},
 	{name: "an infinite deadline", request: rawQuery("Inf", "a", goodBody), want: "400"},
-	{name: "an ID with a comma", request: rawQuery(patientDeadline, "a,b", goodBody), want: "400"},
+	{name: "an ID with a comma", request: rawQuery(testDeadline, "a,b", goodBody), want: "400"},
 	{
 		name:    "masses below 1",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":1,"mass":0.4}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":1,"mass":0.4}`)),
 		want:    "400",
 	},
 	{
 		name:    "masses over 1",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":1,"mass":0.9}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":1,"mass":0.9}`)),
 		want:    "400",
 	},
 	{
 		name:    "a slice twice",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":0,"mass":0.5}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":0,"mass":0.5},{"slice":0,"mass":0.5}`)),
 		want:    "400",
 	},
 	{
 		name:    "a slice out of range",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":4,"mass":1}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":4,"mass":1}`)),
 		want:    "400",
 	},
 	{
 		name:    "no filter",
-		request: rawQuery(patientDeadline, "a", `{"slices":[{"slice":0,"mass":1}]}`),
+		request: rawQuery(testDeadline, "a", `{"slices":[{"slice":0,"mass":1}]}`),
 		want:    "400",
 	},
 	{
 		name:    "a term of no hex digits",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":0,"mass":1,"term":"zz"}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":0,"mass":1,"term":"zz"}`)),
 		want:    "400",
 	},
 	{
 		name:    "a filter that is no UTF-8",
-		request: rawQuery(patientDeadline, "a", "{\"slices\":[{\"slice\":0,\"mass\":1}],\"filter\":\"\xff\"}"),
+		request: rawQuery(testDeadline, "a", "{\"slices\":[{\"slice\":0,\"mass\":1}],\"filter\":\"\xff\"}"),
 		want:    "400",
 	},
 	{
 		name:    "masses that are 1 when rounded",
-		request: rawQuery(patientDeadline, "a", slicesBody(`{"slice":0,"mass":0.3333},{"slice":1,"mass":0.6666}`)),
+		request: rawQuery(testDeadline, "a", slicesBody(`{"slice":0,"mass":0.3333},{"slice":1,"mass":0.6666}`)),
 		want:    "200",
 	},
 	{name: "a body in chunks", request: chunkedRequest, want: "200"},
@@ -198,7 +198,7 @@
 }
 
 func TestPlatform_InvalidRequests(t *testing.T) {
-	p := platform(t, newLeaf(t, value), newLeaf(t, value))
+	p := startPlatform(t, newLeaf(t, answerValue), newLeaf(t, answerValue))
 	for _, test := range requestTests {
 		c, err := net.Dial("tcp", p.listen["http"])
 		if err != nil {
@@ -214,13 +214,13 @@
 	p.stop()
 }
 
-// A request on a connection that was open when SIGTERM came is still answered.
+// A query in flight when SIGTERM arrives is still answered.
 func TestPlatform_AnswersLateArrivals(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
-	p := platform(t, newLeaf(t, func(name string, c net.Conn) string {
+	p := startPlatform(t, newLeaf(t, func(name string, c net.Conn) string {
 		close(received)
 		<-release
-		return value(name, c)
+		return answerValue(name, c)
 	}))
 	done := make(chan string)
 	go func() {
@@ -253,27 +253,27 @@
 	}
 }
 
-// SIGHUP switches to the discovery that the file names now; an invalid file changes nothing. Neither
-// ends it.
+// SIGHUP switches to the discovery address in the changed file. An invalid file changes nothing. Neither stops the
+// program.
 func TestPlatform_SIGHUP_ReloadsTheConfiguration(t *testing.T) {
-	a, b := newLeaf(t, value), newLeaf(t, value)
-	p := platform(t, a)
-	again := func(want string) {
+	a, b := newLeaf(t, answerValue), newLeaf(t, answerValue)
+	p := startPlatform(t, a)
+	reload := func(want string) {
 		t.Helper()
 		p.signal(syscall.SIGHUP)
-		if line := <-p.lines; !strings.Contains(line, want) {
+		if line := <-p.configLines; !strings.Contains(line, want) {
 			t.Errorf("%q, want %q", line, want)
 		}
 	}
-	writeFile(t, p.conf, "{")
-	again("configuration reload failed")
+	writeFile(t, p.confPath, "{")
+	reload("configuration reload failed")
 	body := `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`
 	if status, text := p.ask("q6", "search", body); status != 200 {
 		t.Errorf("%d %s", status, text)
 	}
-	configure(t, p.conf, newDiscovery(t, b))
-	again("configuration reloaded")
-	for i := 0; len(b.seen()) == 0; i++ { // once the new list is in, only b is listed
+	writeConfig(t, p.confPath, newDiscovery(t, b))
+	reload("configuration reloaded")
+	for i := 0; len(b.received()) == 0; i++ { // after the switch only b is listed
 		p.ask(fmt.Sprintf("r%d", i), "search", body)
 	}
 	p.stop()
--- a/cmd/rooktrestle/reload_test.go
+++ b/cmd/rooktrestle/reload_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// Settings that change while the program serves (SIGHUP).
+// Tests of settings that change while the program serves (SIGHUP).
 
-// hup sends SIGHUP and returns the line that tells what came of it.
-func (p *program) hup() string {
+// reload sends SIGHUP and returns the log line with the result.
+func (p *program) reload() string {
 	p.t.Helper()
 	p.signal(syscall.SIGHUP)
-	return <-p.lines
+	return <-p.configLines
 }
 
-// renamed is the settings with other names and effects of their classes: search is dropped, a new class is idempotent, and
-// corrections have moved to another place.
-func renamed(settings string) string {
+// withChangedClasses returns the settings with the classes search and correction replaced by classes of other names,
+// both idempotent.
+func withChangedClasses(settings string) string {
 	return strings.NewReplacer(
 		`"name":"search"`, `"name":"correction-kept"`,
 		`"effect":"unsafe"`, `"effect":"safe"`,
@@ -28,12 +28,12 @@
 	).Replace(settings)
 }
 
-// Nothing is taken from a file that cannot be served: neither its settings nor the address of discovery.
+// Nothing of an invalid file is applied: neither its settings nor the address of discovery.
 func TestReload_NothingIsTakenOfBrokenSettings(t *testing.T) {
-	a := newLeaf(t, value)
-	p := platform(t, a)
-	good := unhurried(1)
-	stranger := newDiscovery(t) // lists nothing
+	a := newLeaf(t, answerValue)
+	p := startPlatform(t, a)
+	good := untimedSettings(1)
+	emptyDiscovery := newDiscovery(t) // lists nothing
 	for name, broken := range map[string]string{
 		"deadline not positive": strings.Replace(good, `"deadline":`, `"deadline":-`, 1),
 		"deadline of text":      strings.Replace(good, `"deadline":`, `"deadline":"soon","x":`, 1),
@@ -44,10 +44,10 @@
 		"rules missing":         strings.Replace(good, `"rules":`, `"former_rules":`, 1),
 	} {
 		if broken == good {
-			t.Fatalf("%s: not broken", name)
+			t.Fatalf("%s: the settings are unchanged", name)
 		}
-		configureAs(t, p.conf, stranger, renamed(broken), soleInstance)
-		if line := p.hup(); !strings.Contains(line, "configuration reload failed") {
+		writeConfigWith(t, p.confPath, emptyDiscovery, withChangedClasses(broken), singleInstance)
+		if line := p.reload(); !strings.Contains(line, "configuration reload failed") {
 			t.Errorf("%s: %q", name, line)
 		}
 	}
@@ -59,8 +59,8 @@
 	p.stop()
 }
 
-// Classes are added and dropped, their places and effects change: requests from then on have the new rules, those that are
-// open keep the old ones.
+// A reload adds and removes classes, and changes their indexes and effects: later queries follow the new rules, open
+// ones the previous rules.
 func TestReload_ClassesChange(t *testing.T) {
 	received, release := make(chan string, 100), make(chan struct{})
 	var broken atomic.Bool
@@ -73,10 +73,10 @@
 			closeQuietly(c)
 			return ""
 		}
-		return value(name, c)
+		return answerValue(name, c)
 	}
-	a, b := newLeaf(t, act), newLeaf(t, act) // of which the other one gets what the first breaks
-	p := platform(t, a, b)
+	a, b := newLeaf(t, act), newLeaf(t, act) // a part whose connection one of them breaks is retried on the other
+	p := startPlatform(t, a, b)
 	discovery := newDiscovery(t, a, b)
 	held := make(chan string)
 	go func() {
@@ -84,20 +84,20 @@
 		held <- fmt.Sprint(status, text)
 	}()
 	<-received
-	configureAs(t, p.conf, discovery, renamed(unhurried(1)), soleInstance)
-	if line := p.hup(); !strings.Contains(line, "configuration reloaded") {
+	writeConfigWith(t, p.confPath, discovery, withChangedClasses(untimedSettings(1)), singleInstance)
+	if line := p.reload(); !strings.Contains(line, "configuration reloaded") {
 		t.Errorf("%q", line)
 	}
 	if status, text := p.ask("new", "correction-kept", onePart); status != 200 {
-		t.Errorf("a class that was added: %d %s", status, text)
+		t.Errorf("a query of an added class: %d %s", status, text)
 	}
 	close(release)
 	if got := <-held; !strings.HasPrefix(got, "200") {
-		t.Errorf("a query that was open: %s", got)
+		t.Errorf("the query that was open during the reload: %s", got)
 	}
-	// Not idempotent before, at this place: it is sent again now.
+	// The class at this index was non-idempotent before the reload. It is idempotent now, so the part is retried.
 	if status, text := p.ask("breaks", "search-ii", onePart); status != 200 {
-		t.Errorf("a class that is idempotent now: %d %s", status, text)
+		t.Errorf("a query of a class that is idempotent now: %d %s", status, text)
 	}
 	p.stop()
 }
--- a/cmd/rooktrestle/shutdown_test.go
+++ b/cmd/rooktrestle/shutdown_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// Shutdowns of the program and what crosses them (docs/crossings.md).
+// Tests of requests and signals that arrive during a shutdown (docs/crossings.md).
 
 // httpClient is one connection of a client.
 type httpClient struct {
@@ -32,7 +32,7 @@
 	return httpClient{c, bufio.NewReader(c)}
 }
 
-// send sends a query of one part, with its deadline in seconds.
+// send sends a query with one part and a deadline in seconds.
 func (c httpClient) send(id, wait string) error {
 	body := `{"slices":[{"slice":1,"mass":1}],"filter":"x"}`
 	_, err := fmt.Fprintf(c, "POST /search HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: search\r\nX-Tenant: tv\r\n"+
@@ -41,7 +41,7 @@
 	return err
 }
 
-// mustSend sends a query, which must not fail.
+// mustSend is send, and fails the test on an error.
 func (c httpClient) mustSend(t *testing.T, id, wait string) {
 	t.Helper()
 	if err := c.send(id, wait); err != nil {
@@ -49,20 +49,20 @@
 	}
 }
 
-// answer reads the next answer to its end.
+// answer reads the next answer completely.
 func (c httpClient) answer() (status int, text string, err error) {
 	if _, err := c.in.Peek(1); err != nil {
 		return 0, "", err
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return 0, "", fmt.Errorf("an answer stopped short: %w", err)
+		return 0, "", fmt.Errorf("truncated answer: %w", err)
 	}
 	b, err := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(b), err
 }
 
-// expectFailure reads the next answer, which must be complete and that of a query that is not served.
+// expectFailure reads the next answer, which must be complete and have a status of 500 or higher.
 func (c httpClient) expectFailure(t *testing.T) {
 	t.Helper()
 	if status, _, err := c.answer(); status < 500 || err != nil {
@@ -70,17 +70,17 @@
 	}
 }
 
-// A client sends requests on one connection until the program ends it. Each request is answered completely or, where it
-// crosses the end, not accepted at all: its client sees the end, and may retry elsewhere.
+// A client sends requests on one connection until the program closes it. Each request is answered completely, or not
+// accepted at all if it crosses the close: its client then sees the connection closed, and may retry elsewhere.
 func TestShutdown_ClientSendsUntilItsConnectionEnds(t *testing.T) {
-	p := platform(t, newLeaf(t, value))
+	p := startPlatform(t, newLeaf(t, answerValue))
 	c := p.connect()
 	answered := 0
 	for i := 0; ; i++ {
 		if i == 3 {
 			p.signal(syscall.SIGTERM)
 		}
-		err := c.send(fmt.Sprint("q", i), patientDeadline)
+		err := c.send(fmt.Sprint("q", i), testDeadline)
 		if err == nil {
 			var status int
 			if status, _, err = c.answer(); err == nil {
@@ -104,17 +104,17 @@
 	}
 }
 
-// The last answer is there for a client that reads it after the program has ended, and no reset comes in its place. An
-// idle connection ends in the same way, after one SIGTERM or two.
+// A client that reads the last answer only after the program has exited receives it, and no reset. An idle connection
+// is also closed without a reset. A second SIGTERM changes nothing.
 func TestShutdown_LastAnswerIsDelivered(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
-	p := platform(t, newLeaf(t, func(name string, c net.Conn) string {
+	p := startPlatform(t, newLeaf(t, func(name string, c net.Conn) string {
 		close(received)
 		<-release
-		return value(name, c)
+		return answerValue(name, c)
 	}))
-	resting, c := p.connect(), p.connect()
-	c.mustSend(t, "q", patientDeadline)
+	idle, c := p.connect(), p.connect()
+	c.mustSend(t, "q", testDeadline)
 	<-received
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGTERM)
@@ -125,19 +125,20 @@
 	if status, text, err := c.answer(); status != 200 || !strings.Contains(text, valueOf("q.1")) || err != nil {
 		t.Errorf("%d %q, %v", status, text, err)
 	}
-	for _, c := range []httpClient{c, resting} {
+	for _, c := range []httpClient{c, idle} {
 		if b, err := io.ReadAll(c.in); len(b) > 0 || err != nil {
-			t.Errorf("%q, %v; want the end", b, err)
+			t.Errorf("%q, %v; want the end of the stream", b, err)
 		}
 	}
 }
 
-// Leaf servers hang to the end: the query is answered when its time is over, and the program ends then. Its deadline is
-// shorter than the pause for late arrivals, and so is the one of a request that comes within that pause.
+// Leaf servers never respond: queries are answered when their deadlines expire, and the program then exits. The
+// deadlines of the query that is open at SIGTERM, and of one that arrives during the grace period, are shorter than
+// that period.
 func TestShutdown_LeafServersHang(t *testing.T) {
 	received, never := make(chan struct{}, 10), make(chan struct{})
 	t.Cleanup(func() { close(never) })
-	p := platform(t, newLeaf(t, func(string, net.Conn) string {
+	p := startPlatform(t, newLeaf(t, func(string, net.Conn) string {
 		received <- struct{}{}
 		<-never
 		return ""
@@ -145,7 +146,7 @@
 	first, late := p.connect(), p.connect()
 	answered := make(chan struct{})
 	sent := 0
-	for inFlight := false; !inFlight; { // a busy machine may let the deadline pass before a part is sent
+	for inFlight := false; !inFlight; { // on a busy machine the deadline may expire before a part is sent
 		sent++
 		first.mustSend(t, fmt.Sprint("first", sent), "0.3")
 		go func() {
@@ -169,7 +170,7 @@
 	}
 }
 
-// A SIGTERM before the program is ready, while discovery is unresponsive, ends it.
+// SIGTERM stops a program that is not ready yet because discovery is unresponsive.
 func TestShutdown_BeforeReady(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -177,9 +178,9 @@
 	}
 	defer closeQuietly(ln)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure(t, path, ln.Addr().String())
+	writeConfig(t, path, ln.Addr().String())
 	p := start(t, 1, []string{"NODE_CONFIG=" + path, "NODE_DISCOVERY=" + ln.Addr().String()})
-	c, err := ln.Accept() // it waits for a list
+	c, err := ln.Accept() // the program's request for the list, which is never answered
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,17 +195,17 @@
 	}
 }
 
-// A SIGTERM while a reload blocks on reading the configuration ends the program.
+// SIGTERM stops the program while a reload blocks on reading the configuration file.
 func TestShutdown_WhileConfigurationIsRead(t *testing.T) {
-	p := platform(t, newLeaf(t, value))
-	if err := os.Remove(p.conf); err != nil {
+	p := startPlatform(t, newLeaf(t, answerValue))
+	if err := os.Remove(p.confPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(p.conf, 0o600); err != nil {
+	if err := syscall.Mkfifo(p.confPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	f, err := os.OpenFile(p.conf, os.O_WRONLY, 0) // opens when the program reads, which it then goes on doing
+	f, err := os.OpenFile(p.confPath, os.O_WRONLY, 0) // the program then blocks on reading
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rooktrestle/silence_test.go
+++ b/cmd/rooktrestle/silence_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// agent is a stand-in of an instance's discovery agent. While it is unresponsive, open watches receive no more events, and
-// new calls no answer at all, ever.
+// agent is a fake of an instance's discovery agent. While it is unresponsive, open watches receive no events, and new
+// calls are never answered.
 type agent struct {
 	addr         string
-	calls        chan struct{} // received while it was unresponsive
-	drainSent    chan struct{} // a list with a draining server has been sent
+	calls        chan struct{} // one entry for each call received while unresponsive
+	drainSent    chan struct{} // one entry for each list sent with a draining server
 	mu           sync.Mutex
 	unresponsive bool
-	drains       int // number of the server that drains; negative: none
+	drains       int // index of the draining server; negative: none
 }
 
 func newAgent(t *testing.T, leaves ...*leafServer) *agent {
@@ -50,25 +50,25 @@
 	a.mu.Unlock()
 }
 
-// watchingFleet is a fleet of instances that each watch a discovery agent of their own.
+// watchingFleet is a fleet of instances, each with a discovery agent of its own.
 type watchingFleet struct {
 	t         *testing.T
 	settings  string
 	agents    []*agent
 	instances []*program
-	draining  *leafServer // the server that is to drain
-	queries   []int       // of each instance
+	draining  *leafServer // the server that will be draining
+	queries   []int       // number of queries of each instance
 }
 
 // start starts instance i.
 func (f *watchingFleet) start(i int) *program {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "config.json")
-	configureAs(f.t, path, f.agents[i].addr, f.settings, fmt.Sprintf(`"name":"n%d","seed":"%x"`, i, 7+i))
+	writeConfigWith(f.t, path, f.agents[i].addr, f.settings, fmt.Sprintf(`"name":"n%d","seed":"%x"`, i, 7+i))
 	return start(f.t, 1, []string{"NODE_CONFIG=" + path, "NODE_DISCOVERY=" + f.agents[i].addr})
 }
 
-// query sends a query of one part, which both servers hold, to instance i.
+// query sends a query with one part, of which both servers are replicas, to instance i.
 func (f *watchingFleet) query(i int) {
 	f.t.Helper()
 	f.queries[i]++
@@ -79,9 +79,9 @@
 	}
 }
 
-// partsAtDraining are the parts that instance i has sent to the server that is to drain.
+// partsAtDraining returns the number of parts that instance i has sent to the draining server.
 func (f *watchingFleet) partsAtDraining(i int) (parts int) {
-	for _, line := range f.draining.seen() {
+	for _, line := range f.draining.received() {
 		if strings.HasPrefix(line, fmt.Sprintf("q%d.", i)) {
 			parts++
 		}
@@ -89,8 +89,8 @@
 	return parts
 }
 
-// queryUntilAvoided sends queries to instance i until ten in a row have avoided the draining server: the instance has
-// applied the list then.
+// queryUntilAvoided sends queries to instance i until ten in a row have avoided the draining server, which shows that
+// the instance has applied the list.
 func (f *watchingFleet) queryUntilAvoided(i int) {
 	f.t.Helper()
 	for avoided, before := 0, f.partsAtDraining(i); avoided < 10; {
@@ -103,20 +103,20 @@
 	}
 }
 
-// Instances whose discovery agents are all unresponsive call them again, and go on doing so: each learns of a drain that
-// began meanwhile, also one that was stopped all the time, and one that was killed and restarted meanwhile. From then on
-// nothing new goes to the server. Guards against instances that waited in silence and sent 1,481 parts to servers that
-// drained.
+// Instances call unresponsive discovery agents repeatedly, so that each receives the drain of a server that began in
+// the meantime, also an instance that was stopped all the time or was killed and restarted. After that the server
+// receives no new parts. Guards against instances that wait for an unresponsive watch without end: they sent 1,481
+// parts to draining servers.
 func TestDiscovery_DrainIsLearnedAfterASilentWatch(t *testing.T) {
-	draining, sound := newLeaf(t, value), newLeaf(t, value)
-	settings := strings.Replace(unhurried(300), `"n_instances"`, `"registry_mode":"pushed","n_instances"`, 1)
+	draining, healthy := newLeaf(t, answerValue), newLeaf(t, answerValue)
+	settings := strings.Replace(untimedSettings(300), `"n_instances"`, `"registry_mode":"pushed","n_instances"`, 1)
 	settings = strings.Replace(settings, `"quota_per_s":100`, `"quota_per_s":100000`, 1)
 	const n, killed, stopped = 5, 0, 1
 	f := &watchingFleet{t: t, settings: settings, draining: draining, queries: make([]int, n)}
 	for i := range n {
-		f.agents = append(f.agents, newAgent(t, draining, sound))
+		f.agents = append(f.agents, newAgent(t, draining, healthy))
 		f.instances = append(f.instances, f.start(i))
-		f.instances[i].wait()
+		f.instances[i].awaitHealthy()
 	}
 	for i := range n {
 		for f.partsAtDraining(i) == 0 {
@@ -127,12 +127,12 @@
 		a.set(true, -1)
 	}
 	f.instances[killed].kill()
-	<-f.instances[killed].last
+	<-f.instances[killed].lastLine
 	f.queries[killed] = 0
 	f.instances[killed] = f.start(killed)
 	f.instances[stopped].signal(syscall.SIGSTOP)
 	for i, a := range f.agents {
-		for range 3 { // the first by its silence, the others as nothing came of the one before
+		for range 3 { // the first call as the watch is unresponsive, the others as the call before was not answered
 			if i != stopped {
 				<-a.calls
 			}
@@ -144,14 +144,14 @@
 	f.instances[stopped].signal(syscall.SIGCONT)
 	for i, a := range f.agents {
 		<-a.drainSent
-		f.instances[i].wait()
+		f.instances[i].awaitHealthy()
 		f.queryUntilAvoided(i)
 		before := f.partsAtDraining(i)
 		for range 30 {
 			f.query(i)
 		}
 		if parts := f.partsAtDraining(i) - before; parts > 0 {
-			t.Errorf("instance %d: %d of 30 parts went to a server that drains", i, parts)
+			t.Errorf("instance %d: %d of 30 parts were sent to a draining server", i, parts)
 		}
 	}
 	for i, p := range f.instances {
