--- a/internal/control/estimate/estimate_test.go
+++ b/internal/control/estimate/estimate_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// All parts of a wide request together have about the weight of a few narrow requests.
+// All parts of a wide query together have about the weight of a few narrow queries.
 func TestLatency_RecordLimitsWideRequests(t *testing.T) {
 	narrow := NewLatency(1e6)
 	wide := NewLatency(1e6)
@@ -88,8 +88,8 @@
 	if want := 250e3 + maxSmoothing*750e3; narrow.Mean != want {
 		t.Errorf("mean %v after one response, want %v", narrow.Mean, want)
 	}
-	if most := 250e3 + requestSmoothing*750e3; wide.Mean > most {
-		t.Errorf("mean %v after one wide request, want at most %v", wide.Mean, most)
+	if most := 250e3 + querySmoothing*750e3; wide.Mean > most {
+		t.Errorf("mean %v after one wide query, want at most %v", wide.Mean, most)
 	}
 }
 
--- a/internal/control/estimate/latency.go
+++ b/internal/control/estimate/latency.go
@@ -8,12 +8,12 @@
 	InitialDeviation = 0.25 // mean deviation, as a fraction of InitialMean
 )
 
-// TailFactor times ln n is by how many mean deviations the slowest of n responses exceeds the mean.
+// TailFactor times ln n is the number of mean deviations by which the slowest of n responses exceeds the mean.
 const TailFactor = 1.2
 
 const (
 	maxSmoothing      = 0.05 // weight of one response time, at most
-	requestSmoothing  = 0.5  // total weight of the response times of one request, at most
+	querySmoothing    = 0.5  // total weight of the response times of one query, at most
 	overdueDeviations = 3.0  // mean deviations beyond the mean at which an attempt is overdue
 	forgetFraction    = 0.3  // fraction of the excess that Forget removes
 )
@@ -29,11 +29,11 @@
 	return Latency{Mean: objective * InitialMean, Deviation: objective * InitialMean * InitialDeviation}
 }
 
-// Record adds the response time of one part of a request that has so many parts. Each request has about the same total
-// weight: parts are recorded in the order of their response times, so the slowest parts of a wide request, recorded
-// last, would otherwise outweigh all others.
+// Record adds the response time of one part of a query; parts is the number of parts of the query. Each query has about
+// the same total weight: parts are recorded in the order of their response times, so the slowest parts of a wide query,
+// recorded last, would otherwise outweigh all others.
 func (l *Latency) Record(responseTime float64, parts int) {
-	weight := min(maxSmoothing, requestSmoothing/float64(max(1, parts)))
+	weight := min(maxSmoothing, querySmoothing/float64(max(1, parts)))
 	l.Deviation += weight * (math.Abs(responseTime-l.Mean) - l.Deviation)
 	l.Mean += weight * (responseTime - l.Mean)
 }
@@ -51,9 +51,9 @@
 // Typical is the response time within which most attempts end: one deviation beyond the mean.
 func (l *Latency) Typical() float64 { return l.Mean + l.Deviation }
 
-// TailDeviations returns by how many mean deviations the last awaited one of so many responses exceeds the mean; the
-// slowest ones, the fraction optional of them all, are not awaited. Of m times with an exponential tail, the one that k
-// others exceed is about ln(m/(k+1)) deviations beyond the mean.
+// TailDeviations returns by how many mean deviations the slowest response that is needed exceeds the mean. Of the
+// responses, one for each part, the slowest ones are not needed: the fraction optional of them. Of m times with an
+// exponential tail, the one that k others exceed is about ln(m/(k+1)) deviations beyond the mean.
 func TailDeviations(parts int, optional float64) float64 {
 	m := float64(max(1, parts))
 	return TailFactor * math.Log(m/(1+math.Floor(m*optional)))
