--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -23,7 +23,7 @@
 	assumedConcurrency = 4    // parts that a server is assumed to process at once: high, as reports may be delayed
 	maxWorkFactor      = 2.0  // upper limit of a part's estimated work, as a multiple of the median service time
 	longQueueDelay     = 0.2  // fraction of the shortest objective from which on a queue's delay counts as long
-	longQueueQuantile  = 0.75 // quantile of the recently probed queues that a wide request is assumed to meet
+	longQueueQuantile  = 0.75 // quantile of the recently probed queues that a wide query is assumed to meet
 	minSamples         = 4    // probed queues, or recent answers, needed for an estimate over all servers
 )
 
@@ -89,7 +89,8 @@
 	return mean
 }
 
-// medianServiceTime returns the median of the servers' service times: no answer arrives sooner.
+// medianServiceTime returns the median of the servers' service times, each the minimum of recent response times:
+// hardly any answer arrives sooner.
 func (f *Fleet) medianServiceTime() float64 {
 	var times []float64
 	for _, s := range f.Servers {
@@ -116,7 +117,7 @@
 	return mean
 }
 
-// RecordAnswer records the response time of one part of a request that has so many parts.
+// RecordAnswer records the response time of one part of a query; parts is the number of parts of the query.
 func (f *Fleet) RecordAnswer(s *Server, now time.Duration, responseTime float64, parts int) {
 	s.RecordAnswer(now, responseTime)
 	if s.Measured {
@@ -153,8 +154,8 @@
 	return estimate.Microseconds(f.Options.Objective) * estimate.InitialMean
 }
 
-// SlowestResponseTime is the response time of the slowest of several parts, which is so many mean deviations beyond the
-// mean.
+// SlowestResponseTime is the expected response time of the slowest part, which is the given number of mean deviations
+// beyond the mean.
 func (f *Fleet) SlowestResponseTime(deviations float64) float64 {
 	return f.Mean + deviations*f.Deviation
 }
@@ -173,12 +174,12 @@
 	return mean + deviations*min(f.Deviation, mean*estimate.InitialDeviation) + delay
 }
 
-// ExpectedResponseTime estimates by Little's law how long a new request of a class will take: the requests in flight at
+// ExpectedResponseTime estimates by Little's law how long a new query of a class will take: the requests in flight at
 // healthy servers, divided by the rate at which these answer. The number in flight falls as soon as less is sent, so
-// rejections do not cause further rejections. It is the median of fresh load reports, each with what was sent since,
-// because a few servers may have most of the requests; or it follows from own requests, if instances are few. If
-// neither is available, measured is false and the result is slowest, the recent response time of the slowest part. Each
-// healthy server is assumed to have the capacity of at least one core.
+// rejections do not cause further rejections. That number is the median of fresh load reports, each plus the requests
+// sent since, because a few servers may have most of the requests; or that extrapolated from own requests, if it is
+// greater. If there are many instances and no fresh reports, measured is false and the result is slowest, the recent
+// response time of the slowest part. Each healthy server is assumed to have the capacity of at least one core.
 func (f *Fleet) ExpectedResponseTime(
 	now time.Duration, class, parts int, slowest float64,
 ) (expected float64, measured bool) {
@@ -206,6 +207,6 @@
 	return (inFlight + float64(parts)/capacity) / rate * slowest / f.Mean, true
 }
 
-// ForgetExcess moves the estimates toward those of an idle fleet. Call it when a request is rejected, as rejected
-// requests bring no answers that would correct the estimates.
+// ForgetExcess moves the estimates toward those of an idle fleet. Call it when a query is rejected, as rejected
+// queries bring no answers that would correct the estimates.
 func (f *Fleet) ForgetExcess() { f.Forget(min(f.MedianServiceTime, f.InitialMean())) }
--- a/internal/control/fleet/queue.go
+++ b/internal/control/fleet/queue.go
@@ -21,7 +21,7 @@
 	return f.DrainTime(queue) >= longQueueDelay*estimate.Microseconds(f.Options.Objective)
 }
 
-// Backlogged reports whether a server has a long queue: by its AveragesOf, or because the last gossip about it said so.
+// Backlogged reports whether a server has a long queue: by its AveragesOf, or because the last gossip reported one.
 // The latter expires after reportLifetime; without further reports it would otherwise count for good.
 func (f *Fleet) Backlogged(s *Server, now time.Duration) bool {
 	reported := s.QueueWasLong && now-s.ReportedAt < reportLifetime*f.Options.Objective
