--- a/internal/control/gossip/budget.go
+++ b/internal/control/gossip/budget.go
@@ -4,7 +4,7 @@
 // MaxMessageBytes.
 const BudgetPerPart = 0.4
 
-// Budget limits the bytes of messages in proportion to the parts of queries that an aggregator served. Make it with
+// Budget limits the bytes of messages in proportion to the parts of queries that an aggregator accepted. Make it with
 // NewBudget; it is not safe for concurrent use.
 type Budget struct {
 	Bytes       float64 // that may be sent now, summed over the receivers
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// MaxMessageBytes is the maximum length of a message: the protocol allows no longer datagrams between aggregators.
+	// MaxMessageBytes is the maximum length of a message: the protocol forbids longer datagrams between aggregators.
 	MaxMessageBytes = 256
 	// HeaderBytes is the length of a message before its body.
 	HeaderBytes = 5
--- a/internal/control/gossip/gossip_test.go
+++ b/internal/control/gossip/gossip_test.go
@@ -11,19 +11,19 @@
 	const kind = 0x51
 	now := time.Hour
 	for _, body := range []string{"", "body", string(make([]byte, MaxMessageBytes-HeaderBytes))} {
-		text := Encode(kind, now, []byte(body))
-		if !IsKind(kind, text) || IsKind(kind+1, text) || string(text[HeaderBytes:]) != body {
-			t.Fatalf("%x", text)
+		message := Encode(kind, now, []byte(body))
+		if !IsKind(kind, message) || IsKind(kind+1, message) || string(message[HeaderBytes:]) != body {
+			t.Fatalf("%x", message)
 		}
-		for i := range text {
-			text[i] ^= 0x10
-			if IsKind(kind, text) {
+		for i := range message {
+			message[i] ^= 0x10
+			if IsKind(kind, message) {
 				t.Errorf("the message is accepted with byte %d changed", i)
 			}
-			text[i] ^= 0x10
+			message[i] ^= 0x10
 		}
 		for _, age := range []time.Duration{0, 30 * time.Second, -30 * time.Second} {
-			if got := Age(now+age, text); got != age {
+			if got := Age(now+age, message); got != age {
 				t.Errorf("age %v, want %v", got, age)
 			}
 		}
--- a/internal/control/gossip/load.go
+++ b/internal/control/gossip/load.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	kindLoad = 0x52 // letter Q, version 2
+	kindLoad = 0x52 // version 2 of the message; the letter Q, 0x51, stands for version 1
 
 	// Unresponsive is the value of an observation of a server that did not answer a probe; lower values are queue
 	// lengths.
