--- a/internal/control/outlier/message.go
+++ b/internal/control/outlier/message.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// messageKind is the letter L, for version 1 of the message. A value has two counts of four bits for each server:
-	// of attempts that failed there and of attempts that it answered, both since the sender's last message.
+	// messageKind is the letter L, for version 1 of the message. The value of an observation contains two counts of
+	// four bits: of attempts that failed at the server and of attempts that it answered, since the sender's previous
+	// message.
 	messageKind = 0x4c
 	countBits   = 4
 	maxCount    = 1<<countBits - 1 // larger counts are sent as maxCount
--- a/internal/control/outlier/outlier.go
+++ b/internal/control/outlier/outlier.go
@@ -45,7 +45,7 @@
 const (
 	minFailures      = 4   // decayed failures that make a server an outlier if the baseline is 0
 	baselineFactor   = 4   // failures needed in addition, as a multiple of the baseline
-	baselineQuantile = 0.4 // of the servers' failure counts: up to half of the servers may fail together with a zone
+	baselineQuantile = 0.4 // quantile of failure counts that is the baseline: half of the servers may fail with a zone
 	quietDecayTimes  = 8   // decay times without a failure after which a server at the lowest step moves up one
 )
 
