--- a/internal/control/retrydetect/retrydetect.go
+++ b/internal/control/retrydetect/retrydetect.go
@@ -9,9 +9,9 @@
 const maxVotes = 20
 
 // Detector learns the remaining time to the deadline that first attempts of one class of queries have, by a majority
-// vote. All first attempts of a class have the same remaining time. Retries have what remains of the deadline, which
-// may be more. So the most frequent remaining time is that of first attempts. The zero value has learned nothing; it is
-// not safe for concurrent use.
+// vote. All first attempts of a class have the same remaining time. Retries have what remains of the query's deadline,
+// which varies and may even be longer than that. So the most frequent remaining time is that of first attempts. The
+// zero value has learned nothing; it is not safe for concurrent use.
 type Detector struct {
 	remaining time.Duration // of first attempts
 	votes     int           // lead of remaining over other values
