--- a/internal/control/slowstart/demand.go
+++ b/internal/control/slowstart/demand.go
@@ -13,7 +13,7 @@
 
 	peakPeriods     = 100 // latency objectives: time constant with which the peak decays
 	creditFactor    = 1.8 // credit of a server that is warming up, as a multiple of its share of the traffic
-	maxDemandFactor = 2   // upper limit of the parts offered for random assignment, as a multiple of the peak
+	maxDemandFactor = 2   // limit of Offered up to which parts are assigned at random, as a multiple of Peak
 )
 
 // Demand measures the traffic of one sender, in parts. The counts decay exponentially, so each covers about the last
@@ -33,15 +33,16 @@
 	d.Peak = max(d.Answered, d.Peak*peakDecay)
 }
 
-// Owed returns the credit in parts that a warm server accrues in the elapsed time. The servers in use have the combined
-// capacity of so many warm ones.
+// Owed returns the credit in parts that a warm server accrues in the elapsed time. warmServers is the combined capacity
+// of the servers in use, in warm servers.
 func (d *Demand) Owed(elapsed, objective time.Duration, warmServers float64) float64 {
 	return creditFactor * d.Answered / estimate.Microseconds(DemandPeriods*objective) / max(1, warmServers) *
 		estimate.Microseconds(elapsed)
 }
 
 // ExceedsPeak reports whether more parts are offered than maxDemandFactor times the peak that warm servers were
-// observed to answer. It looks at servers that have the combined capacity of so many warm ones and so many shards each.
+// observed to answer. warmServers is the combined capacity of the servers considered, in warm servers, each of which
+// stores shardsPerServer shards.
 func (d *Demand) ExceedsPeak(warmServers float64, shardsPerServer int) bool {
 	return d.Offered*float64(shardsPerServer) > maxDemandFactor*warmServers*d.Peak
 }
--- a/internal/control/slowstart/slowstart.go
+++ b/internal/control/slowstart/slowstart.go
@@ -14,8 +14,8 @@
 type Limits struct {
 	WarmupPeriod     time.Duration // from the start of a server until it is warm
 	MinCapacity      float64       // least fraction of its full capacity at the start
-	OverloadMultiple float64       // a server that receives more than this multiple of its current capacity
-	OverloadPeriod   time.Duration // for this long fails
+	OverloadMultiple float64       // multiple of its current capacity that overloads a server
+	OverloadPeriod   time.Duration // how long a server must be overloaded to fail
 	Senders          int           // that may send to the server; at least 1
 }
 
@@ -31,8 +31,7 @@
 const maxDebt = 2
 
 // Restart records that the server's process started at started; random is a random number from 0 to 1. It is also the
-// initial credit: with none, a sender that accrues one part in ten seconds would send nothing for that long, and
-// neither would all the others.
+// initial credit: with none, senders that accrue one part in ten seconds would all send nothing for that long.
 func (s *Server) Restart(started time.Duration, random float64) {
 	*s = Server{Started: started, FirstSendThreshold: random, Credit: random}
 }
--- a/internal/control/slowstart/slowstart_test.go
+++ b/internal/control/slowstart/slowstart_test.go
@@ -88,7 +88,7 @@
 	if limits.Allows(&s, now, time.Second) {
 		t.Fatal("a part is allowed immediately after the start")
 	}
-	limits.AddCredit(&s, now, 2.6) // by 0.2
+	limits.AddCredit(&s, now, 2.6) // adds 0.52, at a capacity of 0.2
 	if s.Credit < 1 || !limits.Allows(&s, now, time.Second) {
 		t.Fatalf("credit of %v parts, and no part is allowed", s.Credit)
 	}
