--- a/internal/control/suspicion/path.go
+++ b/internal/control/suspicion/path.go
@@ -9,7 +9,7 @@
 
 const (
 	pathFailuresPerRequest = 2.0  // failures over a path, per request in flight over it, that make it unusable
-	minLatencyRise         = 0.01 // weight of response times above MinLatency: low, as wide requests end with slow ones
+	minLatencyRise         = 0.01 // weight of times above MinLatency: low, as wide queries end with slow answers
 )
 
 // MaxTypicalOverdue is the number of requests in flight for longer than the typical latency that make a path
--- a/internal/control/suspicion/record.go
+++ b/internal/control/suspicion/record.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// MaxPenalty is the upper limit of a server's penalty; it bounds how long recovery takes.
+	// MaxPenalty is the upper limit of a server's penalty; it bounds how long recovery takes. It is also the least
+	// number of failures, or of stalled requests, that makes a path unusable.
 	MaxPenalty = 3.0
 	// LostFactor is the multiple of the overdue time after which an attempt counts as lost even if others were
 	// answered since it was sent.
--- a/internal/control/suspicion/server.go
+++ b/internal/control/suspicion/server.go
@@ -74,7 +74,7 @@
 	s.RecordSuccess()
 }
 
-// RecordClassFailure counts a failure against a class and, unless the server has answered other requests after since,
+// RecordClassFailure counts a failure against a class and, unless the server answered a request after the time since,
 // against the server. Half-open requests of the class are interval microseconds apart, and further apart with each
 // failure: a server may lose most requests of a class, and each lost half-open request delays its query by the overdue
 // time.
--- a/internal/control/suspicion/suspicion_test.go
+++ b/internal/control/suspicion/suspicion_test.go
@@ -49,7 +49,7 @@
 	for _, test := range []struct {
 		name        string
 		age         time.Duration
-		lastSuccess time.Duration // before now; 0: after the request was sent
+		lastSuccess time.Duration // how long before now
 		want        int
 	}{
 		{name: "a young request is not stalled", age: 50 * ms, lastSuccess: time.Second, want: 0},
