--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,14 +9,14 @@
 
 // Limits for the admission of queries.
 const (
-	admissionFraction  = 0.8  // share of the remaining time that a query of mean weight is allowed to take
-	minAdmissionFactor = 0.5  // least factor on admissionFraction, for queries of low weight per part
-	maxAdmissionFactor = 1.2  // largest factor on admissionFraction, for queries of high weight per part
-	weightSmoothing    = 0.02 // weight of one query in the moving means of weight and number of parts
-	minObservedLatency = 0.5  // fraction of the objective that recent latency must exceed for a rejection
-	minAdmissionTime   = 0.25 // remaining share of the objective below which service times alone may reject
-	minOwnInFlight     = 2    // own requests in flight from which a server's recent latency may exclude it
-	minTrafficFraction = 0.01 // traffic fraction up to which parts wait for another replica instead
+	admissionFraction   = 0.8  // share of the remaining time that a query of mean weight is allowed to take
+	minAdmissionFactor  = 0.5  // least factor on admissionFraction, for queries of low weight per part
+	maxAdmissionFactor  = 1.2  // largest factor on admissionFraction, for queries of high weight per part
+	weightSmoothing     = 0.02 // weight of one query in the moving means of weight and number of parts
+	minObservedLatency  = 0.5  // fraction of the objective that recent latency must exceed for a rejection
+	minRemainingCap     = 0.25 // maximum of the remaining time that admission requires, in objectives
+	minOwnInFlight      = 2    // own requests in flight needed for recent latency to exclude a server
+	maxExcludedFraction = 0.01 // traffic fraction up to which a server counts as nearly excluded
 )
 
 // admit reports whether a query's answer can be expected in time. It guards against overload of any cause:
@@ -28,12 +28,12 @@
 	needed := query.neededWeight()
 	minimum := min(query.minWeight(), needed)
 	answerable := b.answerableWeight(query, limit)
-	minRemaining := min(b.fleet.MedianServiceTime, minAdmissionTime*micros(query.class.Objective))
+	minRemaining := min(b.fleet.MedianServiceTime, minRemainingCap*micros(query.class.Objective))
 	if remaining <= minRemaining || answerable < minimum-weightTolerance {
 		return false
 	}
-	// Reject only if two estimates agree: that by recent response times, which lags behind, and that by
-	// requests in flight, which is too high at low load.
+	// Fresh probes of queues decide alone. Else reject only if two estimates agree: that by recent response
+	// times, which lags behind, and that by requests in flight, which is too high at low load.
 	deviations := estimate.TailDeviations(len(query.parts), 1-(minimum+needed)/2)
 	if delay, measured := b.fleet.ObservedQueueDelay(b.now); measured {
 		return b.fleet.SlowestResponseTimeWithQueue(deviations, delay) <= limit
@@ -65,8 +65,8 @@
 	return min(maxAdmissionFactor, max(minAdmissionFactor, factor))
 }
 
-// answerableWeight returns the weight of the parts that have a replica that can answer them. A query for
-// which a shard has none is not admitted.
+// answerableWeight returns the weight of the parts that a replica can answer within limit microseconds. If
+// it is below the minimum weight of an answer, the query is not admitted.
 func (b *Balancer) answerableWeight(q *query, limit float64) (answerable float64) {
 	for _, p := range q.parts {
 		candidates := prefer(b.candidates(p), func(s *server) bool { return !s.nearlyExcluded() })
@@ -77,9 +77,9 @@
 	return answerable
 }
 
-// canAnswer reports whether a replica may answer a part within limit microseconds. It cannot if it is full,
-// warming up without capacity, has requests in flight and recently took too long, or is slow and no half-open
-// request is due.
+// canAnswer reports whether a replica can answer a part within limit microseconds. It cannot if it is full or
+// down, if slow start forbids the part, if its queue is too long, or if its recent responses took too long
+// and it is slow or has requests in flight; the last does not apply if a half-open request is due.
 func (b *Balancer) canAnswer(p *part, s *server, limit float64) bool {
 	halfOpen := len(s.InFlight) == 0 && b.now >= s.NextHalfOpen
 	fast := s.RecentMean() <= limit || !s.Slow && len(s.InFlight) < minOwnInFlight
@@ -104,7 +104,7 @@
 	return reachable
 }
 
-// mostlyExcluded reports whether half of a part's replicas are excluded and all others have long queues.
+// mostlyExcluded reports whether at least half of a part's replicas are nearly excluded, others backlogged.
 func (b *Balancer) mostlyExcluded(part *part) bool {
 	candidates := b.candidates(part)
 	excluded := 0
@@ -120,5 +120,5 @@
 
 // nearlyExcluded reports whether a server should receive almost no parts.
 func (s *server) nearlyExcluded() bool {
-	return s.TrafficFraction > 0 && s.TrafficFraction <= minTrafficFraction
+	return s.TrafficFraction > 0 && s.TrafficFraction <= maxExcludedFraction
 }
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -9,8 +9,8 @@
 
 // Delays after failed attempts.
 const (
-	halfOpenInterval = 1.2 // interval at a server, in overdue times x square root of Instances
-	queueFullBackoff = 0.5 // mean latencies for which a full server is avoided
+	halfOpenIntervalFactor = 1.2 // between half-open requests, in overdue times x square root of Instances
+	queueFullBackoff       = 0.5 // mean latencies for which a full server is avoided
 )
 
 // exhausted reports whether an unanswered part may not be sent again: it must not run twice (rule 2), has
@@ -20,7 +20,7 @@
 		return false
 	}
 	class := p.query.class
-	expired := b.now > p.firstMayHaveRun+class.DedupWindow-b.settings.Tick
+	expired := b.now > p.mayHaveRunSince+class.DedupWindow-b.settings.Tick
 	mustNotRepeat := class.Idempotency == NonIdempotent || class.Idempotency == KeyedIdempotent && expired
 	return p.attempts >= p.query.maxAttempts || len(b.candidates(p)) == 0 || p.mayHaveRun && mustNotRepeat
 }
@@ -64,7 +64,7 @@
 	if !server.Path.Usable() {
 		server.Path.NextHalfOpen = b.now + duration(overdue)
 	} else if !server.HealthyFor(class) {
-		delay := duration(halfOpenInterval * b.sqrtInstances * max(overdue, server.Recent.Max()))
+		delay := duration(halfOpenIntervalFactor * b.sqrtInstances * max(overdue, server.Recent.Max()))
 		server.PerClass[class].NextHalfOpen = b.now + delay
 		server.NextHalfOpen = max(server.NextHalfOpen, b.now+delay)
 	}
@@ -88,11 +88,11 @@
 		return
 	case Failed:
 		part.recordMayHaveRun(attempt)
-		server.RecordClassFailure(part.query.Class, b.now, b.now, b.halfOpenDelay())
+		server.RecordClassFailure(part.query.Class, b.now, b.now, b.halfOpenInterval())
 		server.Path.RecordReachable()
 	case Reset:
 		part.recordMayHaveRun(attempt)
-		server.RecordClassFailure(part.query.Class, b.now, b.now, b.halfOpenDelay())
+		server.RecordClassFailure(part.query.Class, b.now, b.now, b.halfOpenInterval())
 		b.recordReset(server, part.query)
 	case ConnectFailed:
 		b.recordDown(server)
@@ -129,7 +129,7 @@
 // recordDown records that a server refuses connections. The server is avoided for a time that grows with each
 // failure, as an immediate attempt would fail too.
 func (b *Balancer) recordDown(s *server) {
-	s.RecordServerFailure(b.now, b.halfOpenDelay())
+	s.RecordServerFailure(b.now, b.halfOpenInterval())
 	s.avoidUntil = b.now + duration(s.Penalty*b.fleet.Overdue())
 	s.resolveResets(true)
 	if b.now-s.SlowStart.Started > b.settings.Rules.WarmupPeriod {
@@ -137,9 +137,9 @@
 	}
 }
 
-// recordTimeout counts an overdue attempt as a failure of its server if the server has answered nothing
-// since, or another attempt was faster. Otherwise a server that does not answer, or loses parts, would count
-// as healthy again once its requests are canceled.
+// recordTimeout counts an attempt as a failure of its server if it timed out, or if it is overdue and either
+// lost or slower than another attempt. If canceled attempts never counted, a server that does not answer or
+// loses parts would count as healthy again once its requests are canceled.
 func (b *Balancer) recordTimeout(attempt *attempt, result AttemptResult, took float64) {
 	part := attempt.part
 	server := attempt.server
@@ -147,7 +147,7 @@
 	answeredSince := server.PerClass[part.query.Class].LastSuccess > attempt.sent
 	lost := !answeredSince || took > suspicion.LostFactor*overdue
 	if result == TimedOut || took > overdue && (part.answered || lost) {
-		server.RecordClassFailure(part.query.Class, b.now, attempt.sent, b.halfOpenDelay())
+		server.RecordClassFailure(part.query.Class, b.now, attempt.sent, b.halfOpenInterval())
 	}
 	// If the server answered others since, the part was lost, and its time is no measure of their latency.
 	if server.LastSuccess <= attempt.sent {
@@ -184,7 +184,7 @@
 	}
 }
 
-// halfOpenDelay returns the minimum delay in microseconds between half-open requests to a server or class.
-func (b *Balancer) halfOpenDelay() float64 {
-	return halfOpenInterval * b.sqrtInstances * b.fleet.Overdue()
+// halfOpenInterval returns the minimum time between half-open requests to a server, in microseconds.
+func (b *Balancer) halfOpenInterval() float64 {
+	return halfOpenIntervalFactor * b.sqrtInstances * b.fleet.Overdue()
 }
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -69,7 +69,7 @@
 	r := server.Latency
 	h.end(send, 0, Canceled, 800*ms)
 	if last := server.Recent[len(server.Recent)-1]; last != 800e3 || server.Latency <= r {
-		t.Errorf("last time %v, R %v after %v: the time of a canceled attempt must count", last, server.Latency, r)
+		t.Errorf("last time %v, latency %v after %v: a canceled attempt must count", last, server.Latency, r)
 	}
 	send = h.sendOnePart(0)
 	before := len(h.b.servers[send.Replica].Recent)
--- a/balance/events.go
+++ b/balance/events.go
@@ -51,7 +51,8 @@
 // AttemptResult is how an attempt or a probe ended.
 type AttemptResult int
 
-// The results of attempts and probes. Those before Canceled, except OK and QueueFull, always count as losses.
+// The results of attempts and probes. Those before Canceled, except OK and QueueFull, always raise the loss
+// rate of the server; Canceled and NotSent do so only if the attempt was overdue.
 const (
 	OK            AttemptResult = iota
 	Failed                      // the server returned an error; may have run
@@ -114,14 +115,14 @@
 type HealthLimits struct {
 	TrafficFraction float64 // fraction of the parts that it would otherwise receive, below 1; 0: all
 	MaxInFlight     int     // maximum number of requests in flight; 0: unlimited
-	EjectedClasses  uint64  // bit c: receives a part of class c only if all its replicas are ejected
+	EjectedClasses  uint64  // bit c: receives a part of class c only if all replicas of the part are ejected
 	HalfOpenClasses uint64  // bit c: may receive one part of ejected class c as a half-open request
 }
 
-// ejected reports whether the replica is ejected for a class, and halfOpen whether it may receive one part of
-// the class as a half-open request.
-func (l *HealthLimits) ejected(class int) bool  { return l.EjectedClasses>>class&1 == 1 }
-func (l *HealthLimits) halfOpen(class int) bool { return l.HalfOpenClasses>>class&1 == 1 }
+// ejected reports whether the replica is ejected for a class, and allowsHalfOpen whether it may receive one
+// part of the class as a half-open request.
+func (l *HealthLimits) ejected(class int) bool        { return l.EjectedClasses>>class&1 == 1 }
+func (l *HealthLimits) allowsHalfOpen(class int) bool { return l.HalfOpenClasses>>class&1 == 1 }
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
@@ -129,7 +130,7 @@
 	Replica Replica
 	Zone    int
 	Cell    int
-	Size    float64
+	Size    float64 // weight of the replica; not used
 	State   EndpointState
 	Started time.Duration // clock time of its last start; 0: long ago
 }
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendGossip sends the pending observations if the parts served have earned enough bytes.
+// sendGossip sends the pending observations if gossipInterval has elapsed and the budget suffices.
 func (b *Balancer) sendGossip() {
 	interval := duration(gossipInterval * micros(b.minObjective))
 	if message := b.outbox.Flush(b.now, interval, b.settings.Zone); message != nil {
@@ -42,7 +42,7 @@
 }
 
 // receiveGossip applies another balancer's message. Newer observations of this balancer take precedence: a
-// server that answered it after the other's probe was sent is up. A message adds no server to the list.
+// server that answered this one after the other sent its probe is up. A message adds no server to the list.
 func (b *Balancer) receiveGossip(received GossipReceived) {
 	load, ok := gossip.DecodeLoad(b.now, received.Payload)
 	fresh := load.Age.Abs() <= duration(gossipLifetime*micros(b.minObjective))
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -21,7 +21,7 @@
 	if server == nil || !server.acceptsHedges(part.query.Class) {
 		return
 	}
-	// A backlog explains the overdue attempt: it is served there, and no sooner behind another backlog.
+	// A backlog explains the overdue attempt: it will be served, and no sooner behind another backlog.
 	current := attempt.server
 	backlogged := b.fleet.Backlogged(&current.Server, b.now) && current.Path.Usable()
 	if backlogged && !current.nearlyExcluded() && b.fleet.Backlogged(&server.Server, b.now) {
@@ -63,8 +63,8 @@
 		}
 		return b.fleet.Overdue()
 	}
-	// A restart loses the time waited and adds work, and the overdue parts of a healthy server are expensive
-	// ones that would be overdue elsewhere too. Restart only if the server is unresponsive, or if the part is
+	// Canceling loses the time waited and adds work, and the overdue parts of a healthy server are expensive
+	// ones that would be overdue elsewhere too. Cancel only if the server is unresponsive, or if the part is
 	// so long overdue that it must be lost.
 	class := &server.PerClass[part.query.Class]
 	if server.Listed && class.LastSuccess > attempt.sent && class.LossRate < suspicion.LossSmoothing {
--- a/balance/hedging_test.go
+++ b/balance/hedging_test.go
@@ -66,13 +66,13 @@
 		t.Errorf("tokens %v -> %v: a hedged request that is answered first must earn a token", tokens, h.b.hedgeTokens)
 	}
 	h.end(send, 0, Canceled, 5*ms)
-	if d := h.b.servers[send.Replica].Penalty; d < 1 {
-		t.Errorf("penalty %v of a server that lost a part", d)
+	if penalty := h.b.servers[send.Replica].Penalty; penalty < 1 {
+		t.Errorf("penalty %v of a server that lost a part", penalty)
 	}
 	send = h.sendOnePart(0)
 	h.end(send, 0, Canceled, 20*ms)
-	if d := h.b.servers[send.Replica].Penalty; d != 0 {
-		t.Errorf("penalty %v after an early cancellation", d)
+	if penalty := h.b.servers[send.Replica].Penalty; penalty != 0 {
+		t.Errorf("penalty %v after an early cancellation", penalty)
 	}
 }
 
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// counts serves n one-part queries of class 0 and returns how many attempts each server received.
-func (h *harness) counts(n int) map[Replica]int {
+// attemptsByReplica serves n one-part queries of class 0 and returns how many attempts each server received.
+func (h *harness) attemptsByReplica(n int) map[Replica]int {
 	h.Helper()
 	got := map[Replica]int{}
 	for range n {
@@ -27,7 +27,7 @@
 // granted half-open request. If all replicas are ejected, they receive parts nevertheless.
 func TestLimits_EjectedServerGetsHalfOpenRequestsOnly(t *testing.T) {
 	h := newHarness(t, testSettings(), endpointsWithLimits(HealthLimits{EjectedClasses: 1})...)
-	if n := h.counts(50)["a"]; n != 0 {
+	if n := h.attemptsByReplica(50)["a"]; n != 0 {
 		t.Fatalf("%d parts at an ejected server", n)
 	}
 	h.turn(EndpointList{
@@ -47,7 +47,7 @@
 			HealthLimits: HealthLimits{EjectedClasses: 1, TrafficFraction: 0.5},
 		}},
 	})
-	if n := h.counts(50)["a"]; n != 1 {
+	if n := h.attemptsByReplica(50)["a"]; n != 1 {
 		t.Fatalf("%d parts at an ejected server for one half-open request", n)
 	}
 	h.turn(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{
@@ -65,7 +65,7 @@
 			HealthLimits: HealthLimits{EjectedClasses: 3},
 		},
 	}})
-	if got := h.counts(20); got["a"]+got["c"] != 20 {
+	if got := h.attemptsByReplica(20); got["a"]+got["c"] != 20 {
 		t.Fatalf("%v", got)
 	}
 }
@@ -106,7 +106,7 @@
 // A server with traffic fraction 0.25 next to two without a limit receives 8 to 20 % of the parts.
 func TestLimits_TrafficFraction(t *testing.T) {
 	h := newHarness(t, testSettings(), endpointsWithLimits(HealthLimits{TrafficFraction: 0.25})...)
-	got := h.counts(2000)
+	got := h.attemptsByReplica(2000)
 	if share := float64(got["a"]) / 2000; share < 0.08 || share > 0.2 {
 		t.Errorf("%v", got)
 	}
--- a/balance/lookup.go
+++ b/balance/lookup.go
@@ -79,9 +79,9 @@
 
 // recordMayHaveRun records that an ended attempt may have run.
 func (p *part) recordMayHaveRun(a *attempt) {
-	if !p.mayHaveRun || a.sent < p.firstMayHaveRun {
+	if !p.mayHaveRun || a.sent < p.mayHaveRunSince {
 		p.mayHaveRun = true
-		p.firstMayHaveRun = a.sent
+		p.mayHaveRunSince = a.sent
 	}
 }
 
@@ -179,8 +179,8 @@
 	s.resetQueries = nil
 }
 
-// Avoids reports whether a replica currently receives almost no parts because it is down or an outlier. A
-// replica that is only suspected or full is merely less preferred.
+// Avoids reports whether a replica currently receives almost no parts because it is down or an outlier. It is
+// false for one that is only suspected, or that receives nothing for a moment because it is full.
 func (b *Balancer) Avoids(replica Replica) bool {
 	server := b.servers[replica]
 	return server != nil && (b.now < server.avoidUntil && server.Penalty > 0 || server.nearlyExcluded())
--- a/balance/path_test.go
+++ b/balance/path_test.go
@@ -68,7 +68,7 @@
 	server := h.b.servers["b"]
 	path.InFlight = make([]time.Duration, 20)
 	for range 4 {
-		server.RecordClassFailure(0, h.now, h.now, h.b.halfOpenDelay())
+		server.RecordClassFailure(0, h.now, h.now, h.b.halfOpenInterval())
 	}
 	if !path.Usable() {
 		t.Error("four failures with twenty parts in flight made the path unusable")
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -101,7 +101,7 @@
 		ClientsMark:  b.settings.ClientsMarkRetries,
 		MarkedARetry: arrived.IsRetry,
 	}
-	if b.firstAttempts[arrived.Class].IsFirstAttempt(attempt) {
+	if b.retryDetectors[arrived.Class].IsFirstAttempt(attempt) {
 		return 0
 	}
 	return max(0, b.settings.Classes[arrived.Class].Deadline-arrived.TimeLeft)
--- a/balance/query.go
+++ b/balance/query.go
@@ -120,9 +120,9 @@
 	return true
 }
 
-// endIfCrashing ends a query that appears to crash servers, and reports whether it did. Because the client
-// may retry it, queries of its class then send one part ahead of the others for some time. That delays
-// harmless queries by the latency of one part.
+// endIfCrashing ends a query that crashed maxCrashes servers, or any while its class is suspect, if fewer of
+// its parts were answered, and reports whether it did. Because the client may retry it, queries of its class
+// then send one part ahead of the others for some time. That delays harmless ones by the latency of one part.
 func (b *Balancer) endIfCrashing(query *query, answered int) bool {
 	suspect := b.now < b.suspectUntil[query.Class]
 	if query.crashes <= answered || query.crashes < maxCrashes && !suspect {
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -11,8 +11,8 @@
 	rankExponent = 3 // exponent b of the rank
 )
 
-// rank returns the C3 rank of a server: R - S + (1 + os n + q)^b S. The last S is divided by the fraction of
-// its capacity that a server has while it warms up, so that it ranks by its current capacity.
+// rank returns the C3 rank R - S + (1 + os n + q)^b S of a server, with latency R, service time S, os own
+// requests in flight, n balancers and queue q. While it warms up, the last S is divided by its capacity.
 func (b *Balancer) rank(s *server) float64 {
 	mean := b.fleet.AveragesOf(&s.Server, b.now)
 	capacity := b.fleet.Capacity(&s.Server, b.now)
@@ -45,8 +45,8 @@
 	if report.Queue < 0 {
 		queue = max(0, report.InFlight)
 	}
-	// Avoid the server while its queue takes most of an objective. Guards a shard whose replicas are all
-	// overloaded, which fleet-wide estimates do not show. May avoid servers with many cores for too long.
+	// Avoid the server until the queue drains within admissionFraction of the objective. Guards shards whose
+	// replicas are all overloaded, which fleet-wide means hide. May avoid many-core servers for too long.
 	excess := b.fleet.DrainTime(queue) - micros(b.minObjective)*admissionFraction
 	server.avoidUntil = max(server.avoidUntil, b.now+duration(excess))
 	server.RecordLoad(b.now, queue, report.InFlight)
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -14,7 +14,7 @@
 	server.ReportedAt = h.now
 	server.Averages = estimate.Averages{Latency: 300, ServiceTime: 100, Queue: 2}
 	server.InFlight = []time.Duration{0}
-	// n = 2: q̂ = 1 + 1x2 + 2 = 5; 300 - 100 + 125 x 100
+	// For two balancers 1 + os n + q = 1 + 1x2 + 2 = 5, so the rank is 300 - 100 + 125x100.
 	if got := h.b.rank(server); got != 12700 {
 		t.Errorf("rank %v, want 12700", got)
 	}
@@ -62,7 +62,7 @@
 		Report:  &LoadReport{Queue: -1, InFlight: 20, Utilization: -1},
 	})
 	if q := h.b.servers[probes[0].Replica].Queue; q < 10 {
-		t.Errorf("q %v after a report of 20", q)
+		t.Errorf("queue %v after a report of 20", q)
 	}
 }
 
@@ -75,7 +75,7 @@
 	server.NextHalfOpen = h.now + time.Hour
 	h.serve(5, 100*ms)
 	if server.Latency != 5e6 {
-		t.Errorf("R %v of an ejected server was pulled toward the winner", server.Latency)
+		t.Errorf("latency %v of an unhealthy server was pulled toward that of the winner", server.Latency)
 	}
 }
 
@@ -129,11 +129,11 @@
 	}
 	h.turn(TimerFired{})
 	if q := h.b.fleet.AveragesOf(&h.b.servers["c"].Server, h.now).Queue; q != 18 {
-		t.Errorf("q %v just after a report of 18", q)
+		t.Errorf("queue %v just after a report of 18", q)
 	}
 	h.now += 10 * time.Second
 	h.turn(TimerFired{})
 	if q := h.b.fleet.AveragesOf(&h.b.servers["c"].Server, h.now).Queue; q < 9 || q > 10 {
-		t.Errorf("q %v ten objectives after a report of 18, want the mean of 9", q)
+		t.Errorf("queue %v ten objectives after a report of 18, want the mean of 9", q)
 	}
 }
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -34,8 +34,8 @@
 
 // resizeClasses grows the state that is stored by class to the given number of classes.
 func (b *Balancer) resizeClasses(classes int) {
-	for len(b.firstAttempts) < classes {
-		b.firstAttempts = append(b.firstAttempts, retrydetect.Detector{})
+	for len(b.retryDetectors) < classes {
+		b.retryDetectors = append(b.retryDetectors, retrydetect.Detector{})
 		b.suspectUntil = append(b.suspectUntil, 0)
 	}
 	for _, server := range b.servers {
@@ -47,7 +47,7 @@
 
 // forgetClass discards the state learned of the class to which an index referred.
 func (b *Balancer) forgetClass(class int) {
-	b.firstAttempts[class] = retrydetect.Detector{}
+	b.retryDetectors[class] = retrydetect.Detector{}
 	b.suspectUntil[class] = 0
 	for _, server := range b.servers {
 		server.PerClass[class] = suspicion.Record{}
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -10,7 +10,7 @@
 const (
 	zoneTolerance       = 1.5 // a rank within this factor of the best wins if its server is in the own zone
 	rankJitter          = 0.1 // random fraction of a rank: spreads parts over equal servers, avoids herding
-	unhealthyRankFactor = 27  // factor on the rank of an unhealthy server, as with two more parts in flight
+	unhealthyRankFactor = 27  // factor on an unhealthy server's rank: 3^3, as for two more parts in flight
 	maxUsableLoss       = 0.4 // loss rate below which an unhealthy server is used while healthy ones are busy
 	nonIdempotentDelay  = 20  // extra delay of a non-idempotent half-open request, in overdue times
 )
@@ -31,7 +31,7 @@
 		return nil
 	}
 	if len(healthy) > 0 {
-		if server := b.halfOpen(part, available); server != nil {
+		if server := b.halfOpenTarget(part, available); server != nil {
 			return server
 		}
 	}
@@ -60,7 +60,7 @@
 		return candidates, nil
 	}
 	for _, server := range candidates {
-		if server.halfOpen(part.query.Class) && part.mayBeHalfOpen() && b.now >= server.avoidUntil {
+		if server.allowsHalfOpen(part.query.Class) && part.mayBeHalfOpen() && b.now >= server.avoidUntil {
 			server.HalfOpenClasses &^= 1 << part.query.Class
 			part.query.halfOpenUsed = true
 			return nil, server
@@ -88,10 +88,10 @@
 	return all, healthy, usable
 }
 
-// halfOpen returns an unhealthy server to which this part is sent as a half-open request, or nil. Such a
-// server receives one such request at a time, and a query sends one: with many balancers, a wide query would
-// find one due at every unhealthy server. Non-idempotent parts are used last.
-func (b *Balancer) halfOpen(part *part, available []*server) *server {
+// halfOpenTarget returns an unhealthy server to which this part is sent as a half-open request, or nil. Such
+// a server receives one such request at a time, and a query sends one: with many balancers, a wide query
+// would find one due at every unhealthy server. Non-idempotent parts are used only after a further delay.
+func (b *Balancer) halfOpenTarget(part *part, available []*server) *server {
 	if !part.mayBeHalfOpen() {
 		return nil
 	}
@@ -170,8 +170,8 @@
 // sampleWarmupTarget picks one of a part's replicas at random, by capacity, to which it may be sent even if
 // that replica is warming up; or nil. With many balancers, the credit of each for a server that warms up
 // rarely allows a part, and never a query of sixty parts whose shards have only such replicas. By random
-// picks, all balancers together send each replica its share of the demand for its shards, which is within
-// rule 4 as long as demand is near the rate that warm servers have answered.
+// picks, all balancers together send each replica its share of the demand for its shards, which does not
+// overload it (rule 4) as long as demand is near the rate that warm servers have answered.
 func (b *Balancer) sampleWarmupTarget(part *part) *server {
 	if b.fleet.Extrapolates() {
 		return nil
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -19,9 +19,9 @@
 	if send := h.sendOnePart(0); send.Replica != "c" {
 		t.Errorf("sent to %s, want c with the shortest queue", send.Replica)
 	}
-	// R 100, S 100: the losers' q move half way to the winner's q of 1, which stays.
+	// The losers' queues move half way to the winner's queue of 1, which is not changed.
 	if a, b := h.b.servers["a"].Queue, h.b.servers["b"].Queue; a != 2 || b != 1.5 {
-		t.Errorf("losers' q %v and %v, want 2 and 1.5", a, b)
+		t.Errorf("losers' queues %v and %v, want 2 and 1.5", a, b)
 	}
 }
 
@@ -33,7 +33,7 @@
 		used[send.Replica] = true
 	}
 	if len(used) != 3 {
-		t.Errorf("three parts went to %d servers: each must raise os immediately", len(used))
+		t.Errorf("three parts went to %d servers: each must count as in flight immediately", len(used))
 	}
 }
 
@@ -240,7 +240,7 @@
 			h.end(send, 0, OK, 100*ms)
 		}
 	}
-	other := func() (sent bool) {
+	sendOtherClass := func() (sentToFaulty bool) {
 		send := h.sendOnePart(1)
 		h.end(send, 0, OK, 100*ms)
 		return send.Replica == "a"
@@ -261,7 +261,7 @@
 	}
 	found := false
 	for range 20 {
-		found = other() || found
+		found = sendOtherClass() || found
 	}
 	if !found {
 		t.Error("the class that the server answers is no longer sent there")
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -31,7 +31,7 @@
 	DedupWindow      time.Duration // KeyedIdempotent: how long servers drop repeats
 	MinFraction      float64       // minimum fraction of the parts for any answer, 0 to 1
 	CompleteFraction float64       // fraction of the parts for a complete answer, over 0 and at most 1
-	PartialFraction  float64       // a partial answer earns this x its fraction of parts / CompleteFraction
+	PartialFraction  float64       // a partial answer earns this * fraction of parts / CompleteFraction
 	FollowUpParts    int           // number of parts of a second step; 0: one step only
 }
 
@@ -75,16 +75,16 @@
 	Rules Rules
 }
 
-// Rules are the values that the platform states for its rules.
+// Rules are the parameters of the platform's rules on endpoint lists, warm-up and retries.
 type Rules struct {
 	MaxListAge        time.Duration // ListOnRequest: age from which an endpoint list is stale
 	WarmupPeriod      time.Duration // time from a replica's start until it is warm
 	WarmupMinCapacity float64       // minimum fraction of its capacity that a replica has at its start
-	OverloadMultiple  float64       // a replica that warms up fails if it receives more than this multiple
-	OverloadPeriod    time.Duration // of its capacity for this long
+	OverloadMultiple  float64       // multiple of its capacity that overloads a replica while it warms up
+	OverloadPeriod    time.Duration // how long a replica must be overloaded to fail
 	RetryBudgetWindow time.Duration // window in which retries are counted; 0: no retry budget
 	RetryBudgetBase   float64       // retries allowed within any window
-	RetryBudgetRatio  float64       // further retries allowed within it per query and per part
+	RetryBudgetRatio  float64       // further retries allowed per query and per part within the window
 }
 
 // GossipEnabled reports whether balancers exchange gossip messages. With few balancers, each observes enough
@@ -122,12 +122,12 @@
 	case set.Instances < 1:
 		return fmt.Errorf("balance: %d instances: must be at least 1", set.Instances)
 	case set.MaxAttempts < 1:
-		return fmt.Errorf("balance: %d attempts a part: must be at least 1", set.MaxAttempts)
+		return fmt.Errorf("balance: %d attempts per part: must be at least 1", set.MaxAttempts)
 	case set.Rules.RetryBudgetWindow < 0 || set.Rules.RetryBudgetBase < 0 || set.Rules.RetryBudgetRatio < 0:
-		return fmt.Errorf("balance: budget of %v and %v within %v: must not be negative",
+		return fmt.Errorf("balance: retry budget with base %v, ratio %v, window %v: must not be negative",
 			set.Rules.RetryBudgetBase, set.Rules.RetryBudgetRatio, set.Rules.RetryBudgetWindow)
 	case set.Rules.MaxListAge < 0:
-		return fmt.Errorf("balance: endpoint list stale after %v: must not be negative",
+		return fmt.Errorf("balance: maximum age of the endpoint list %v: must not be negative",
 			set.Rules.MaxListAge)
 	case set.Tick <= 0:
 		return fmt.Errorf("balance: tick %v: must be positive", set.Tick)
@@ -146,7 +146,8 @@
 			c.Objective, c.Deadline)
 	}
 	if c.CompleteFraction <= 0 || c.CompleteFraction > 1 || c.MinFraction < 0 || c.MinFraction > 1 {
-		return fmt.Errorf("complete with %v of the parts, least %v: must be fractions", c.CompleteFraction, c.MinFraction)
+		return fmt.Errorf("complete fraction %v, minimum fraction %v: must be within (0, 1] and [0, 1]",
+			c.CompleteFraction, c.MinFraction)
 	}
 	return nil
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -60,8 +60,8 @@
 	return fleet
 }
 
-// play runs a turn of each balancer, with a new query each, and returns how many parts they send together.
-func (f *warmingFleet) play(now time.Duration) (sends int) {
+// runTurns runs a turn of each balancer, with a new query each, and returns how many parts they send in all.
+func (f *warmingFleet) runTurns(now time.Duration) (sends int) {
 	for _, b := range f.balancers {
 		events := endedAttempts(b, now)
 		f.nextID += 2
@@ -116,7 +116,7 @@
 		fleet := newWarmingFleet(t, settings, start)
 		var sent []time.Duration
 		for now := start; now < start+settings.Rules.WarmupPeriod; now += warmingWork / 2 {
-			for range fleet.play(now) {
+			for range fleet.runTurns(now) {
 				sent = append(sent, now)
 			}
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -25,7 +25,7 @@
 	rng           *rand.Rand
 	now           time.Duration
 	actions       []Action      // of the current turn
-	timerAt       time.Duration // when the last timer started fires
+	timerAt       time.Duration // when the pending timer fires, or the last one fired
 	pollAt        time.Duration // when to request the list again after a failed call; 0: not scheduled
 
 	servers     map[Replica]*server
@@ -40,17 +40,17 @@
 	parts    map[ID]*part
 	attempts map[attemptKey]*attempt
 
-	fleet         fleet.Fleet
-	firstAttempts []retrydetect.Detector // by class
-	meanWeight    float64                // moving mean over the queries offered
-	meanParts     float64                // moving mean over the queries offered
-	tenantRates   tokenbucket.Buckets
-	retryBudget   retrybudget.Budget
-	hedgeTokens   float64 // hedged requests that parts have earned and that were not sent yet
-	probeTokens   float64 // probes that parts have earned and that were not sent yet
-	outbox        gossip.Outbox
-	suspectUntil  []time.Duration          // by class: end of the suspicion that its queries crash servers
-	crashingKeys  map[string]time.Duration // by key of crashing queries: until when they are rejected
+	fleet          fleet.Fleet
+	retryDetectors []retrydetect.Detector // by class
+	meanWeight     float64                // moving mean over the queries offered
+	meanParts      float64                // moving mean over the queries offered
+	tenantRates    tokenbucket.Buckets
+	retryBudget    retrybudget.Budget
+	hedgeTokens    float64 // hedged requests that parts have earned and that were not sent yet
+	probeTokens    float64 // probes that parts have earned and that were not sent yet
+	outbox         gossip.Outbox
+	suspectUntil   []time.Duration          // by class: end of the suspicion that its queries crash servers
+	crashingKeys   map[string]time.Duration // by key of crashing queries: until when they are rejected
 }
 
 // server is the state of one replica as this balancer observes it.
@@ -61,10 +61,10 @@
 	gossipKey    uint32
 	zone         int
 	cell         int
-	avoidUntil   time.Duration // full or down: nothing is sent to it before then
+	avoidUntil   time.Duration // full, down or overloaded: nothing is sent to it before then
 	probing      bool
 	probedAt     time.Duration // last probe by this balancer or another
-	resetQueries []*query      // had connections to it reset, while a probe checks whether it crashed
+	resetQueries []*query      // whose connections to it were reset; nil once a probe has ended
 }
 
 // attempt is one sending of a part to a server.
@@ -90,7 +90,7 @@
 	answered        bool
 	abandoned       bool          // will not be sent, or not again
 	mayHaveRun      bool          // an ended attempt may have run
-	firstMayHaveRun time.Duration // when the first ended attempt that may have run was sent
+	mayHaveRunSince time.Duration // when the earliest of these attempts was sent
 	notBefore       time.Duration // earliest time of the next attempt
 	warmupTarget    *server       // may receive the part although it is warming up
 	failedOn        []*server     // servers at which attempts ended without an answer
@@ -119,22 +119,22 @@
 		return nil, err
 	}
 	return &Balancer{
-		settings:      set,
-		sqrtInstances: math.Sqrt(float64(set.Instances)),
-		minObjective:  set.minObjective(),
-		rng:           rand.New(rand.NewPCG(set.Seed, set.Seed^seedMask)),
-		servers:       map[Replica]*server{},
-		cells:         make([][]*server, set.Cells),
-		paths:         map[int]*suspicion.Path{},
-		byID:          map[ID]*query{},
-		byGroup:       map[uint64]*query{},
-		parts:         map[ID]*part{},
-		attempts:      map[attemptKey]*attempt{},
-		fleet:         newFleet(&set),
-		firstAttempts: make([]retrydetect.Detector, len(set.Classes)),
-		suspectUntil:  make([]time.Duration, len(set.Classes)),
-		crashingKeys:  map[string]time.Duration{},
-		tenantRates:   tokenbucket.New(set.tenantRates()),
+		settings:       set,
+		sqrtInstances:  math.Sqrt(float64(set.Instances)),
+		minObjective:   set.minObjective(),
+		rng:            rand.New(rand.NewPCG(set.Seed, set.Seed^seedMask)),
+		servers:        map[Replica]*server{},
+		cells:          make([][]*server, set.Cells),
+		paths:          map[int]*suspicion.Path{},
+		byID:           map[ID]*query{},
+		byGroup:        map[uint64]*query{},
+		parts:          map[ID]*part{},
+		attempts:       map[attemptKey]*attempt{},
+		fleet:          newFleet(&set),
+		retryDetectors: make([]retrydetect.Detector, len(set.Classes)),
+		suspectUntil:   make([]time.Duration, len(set.Classes)),
+		crashingKeys:   map[string]time.Duration{},
+		tenantRates:    tokenbucket.New(set.tenantRates()),
 		retryBudget: retrybudget.New(retrybudget.Limits{
 			Window: set.Rules.RetryBudgetWindow,
 			Base:   set.Rules.RetryBudgetBase,
