--- a/internal/aggregator/abandoned_test.go
+++ b/internal/aggregator/abandoned_test.go
@@ -25,9 +25,9 @@
 // An attempt that was passed to the backend and is not written yet must not start once its answer is not needed: the
 // backend checks this before it writes.
 func TestCore_UnwrittenAttemptIsAbandoned(t *testing.T) {
-	left := false
+	disconnected := false
 	for name, end := range map[string]func(h *harness, request *Request){
-		"client disconnected, not reported yet": func(*harness, *Request) { left = true },
+		"client disconnected, not reported yet": func(*harness, *Request) { disconnected = true },
 		"client disconnected": func(h *harness, request *Request) {
 			h.turn(ClientDisconnected{Request: request})
 		},
@@ -38,11 +38,11 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			left = false
+			disconnected = false
 			h := newHarness(t)
 			request := h.newRequest("q", 0)
 			request.Parts = []PartSpec{{Shard: 0, Weight: 1}}
-			request.Disconnected = func(time.Time) bool { return left }
+			request.Disconnected = func(time.Time) bool { return disconnected }
 			h.turn(RequestArrived{Request: request})
 			if len(h.attempts) != 1 || h.attempts[0].Abandoned(h.now) {
 				t.Fatalf("%d attempts sent, want one that may start", len(h.attempts))
--- a/internal/aggregator/actions.go
+++ b/internal/aggregator/actions.go
@@ -90,7 +90,7 @@
 		WriteBy:           c.writeBy(part),
 		Payload:           query.request.Payload,
 		FollowUp:          query.followUp,
-		FirstStepComplete: query.firstStepCompleted,
+		FirstStepComplete: query.firstStepComplete,
 		Abandoned:         attempt.abandoned,
 	}
 	if query.view != nil {
--- a/internal/aggregator/answer.go
+++ b/internal/aggregator/answer.go
@@ -23,7 +23,7 @@
 	followUpParts := classValue(c.limits.FollowUpParts, q.request.Class)
 	if !q.followUp && followUpParts > 0 && len(answered) > 0 {
 		q.firstStep = answered
-		q.firstStepCompleted = action.Complete
+		q.firstStepComplete = action.Complete
 		c.startFollowUp(q, followUpParts)
 		return
 	}
--- a/internal/aggregator/attempt.go
+++ b/internal/aggregator/attempt.go
@@ -143,8 +143,8 @@
 	return result == balance.QueueFull || result == balance.ConnectFailed || result == balance.NotSent
 }
 
-// mayRunUnanswered reports whether an attempt with this result may have run, or may still be running, without an
-// answer.
+// mayRunUnanswered reports whether an attempt with this result left its part unanswered, and may have run or may still
+// be running.
 func mayRunUnanswered(result balance.AttemptResult) bool {
 	switch result {
 	case balance.Failed, balance.TimedOut, balance.Reset, balance.Canceled:
@@ -171,8 +171,8 @@
 	p.value = value
 }
 
-// updatePlacement records the end of an attempt for the resharding rules, and reports whether its server rejected it
-// for a reason that the shard map contradicts. failure may be nil.
+// updatePlacement records the end of an attempt in its query's placement, if there is one, and reports whether the
+// server rejected it for a reason that the shard map contradicts. failure may be nil.
 func (c *Core) updatePlacement(
 	attempt *attempt, result balance.AttemptResult, failure *AttemptError,
 ) (falseRejection bool) {
--- a/internal/aggregator/benchmark_test.go
+++ b/internal/aggregator/benchmark_test.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	back := &recordingBackend{}
-	c := NewCore(b, back, Limits{FollowUpParts: []int{0, 0, 0}}, startTime)
+	backend := &recordingBackend{}
+	c := NewCore(b, backend, Limits{FollowUpParts: []int{0, 0, 0}}, startTime)
 	var list []Server
 	for i := range servers {
 		list = append(list, Server{ID: balance.Replica(fmt.Sprint("n", i)), Addr: "x", Cell: i})
@@ -58,8 +58,8 @@
 		events = append(events, RequestArrived{Request: onePartRequest(fmt.Sprint("h", i), 1, i%servers, startTime)})
 	}
 	c.Turn(startTime, events)
-	back.sent = nil
-	return c, back
+	backend.sent = nil
+	return c, backend
 }
 
 // Measures the cost of receiving, sending and answering one query, depending on the number of other open queries and on
@@ -68,7 +68,7 @@
 	for _, nodes := range []int{12, 1000} {
 		for _, held := range []int{0, 100, 1000, 10_000} {
 			b.Run(fmt.Sprintf("%d-nodes/%d-held", nodes, held), func(b *testing.B) {
-				c, back := coreWithOpenQueries(b, held, nodes)
+				c, backend := coreWithOpenQueries(b, held, nodes)
 				now := startTime
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -77,10 +77,10 @@
 					request := onePartRequest(fmt.Sprint("q", i), 0, i%nodes, now)
 					c.Turn(now, []Event{RequestArrived{Request: request}})
 					var ends []Event
-					for _, s := range back.sent {
+					for _, s := range backend.sent {
 						ends = append(ends, AttemptEnded{Attempt: s.Attempt, Value: "v"})
 					}
-					back.sent = back.sent[:0]
+					backend.sent = backend.sent[:0]
 					c.Turn(now, ends)
 				}
 			})
--- a/internal/aggregator/clockstep_test.go
+++ b/internal/aggregator/clockstep_test.go
@@ -9,8 +9,8 @@
 // balancer's clock, which is monotonic. Whenever the wall clock was set, the result is the true start time, or a later
 // one where it cannot be determined.
 func TestWallClock_StartsThroughSteps(t *testing.T) {
-	epoch := time.Unix(1_700_000_000, 0)
-	const start = 100 * time.Second // of a server, in time elapsed since the epoch
+	clockZero := time.Unix(1_700_000_000, 0)
+	const start = 100 * time.Second // of a server, in time elapsed since clockZero
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 2 * time.Second, time.Hour} {
 		for name, steppedAt := range map[string]time.Duration{
 			"before the start":               start - 10*time.Second,
@@ -20,15 +20,15 @@
 			var clock wallClock
 			wall := func(passed time.Duration) time.Time { // time on the wall clock
 				if passed >= steppedAt {
-					return epoch.Add(passed + step)
+					return clockZero.Add(passed + step)
 				}
-				return epoch.Add(passed)
+				return clockZero.Add(passed)
 			}
 			for passed := time.Duration(0); passed < start; passed += time.Second {
-				clock.observe(passed, wall(passed), epoch)
+				clock.observe(passed, wall(passed), clockZero)
 			}
 			const listedAt = start + 5*time.Second
-			clock.observe(listedAt, wall(listedAt), epoch)
+			clock.observe(listedAt, wall(listedAt), clockZero)
 			got := clock.toBalancerClock(listedAt, wall(listedAt), wall(start))
 			if got < start || got > listedAt {
 				t.Errorf("set by %v %s: started at %v, want %v", step, name, got, start)
--- a/internal/aggregator/core.go
+++ b/internal/aggregator/core.go
@@ -15,25 +15,27 @@
 	"rooktrestle/internal/control/timers"
 )
 
-// epochMargin is how long before its start a core's clock begins, so that recent start times of servers are positive.
-const epochMargin = 24 * time.Hour
+// clockMargin is how long before a core's creation its clock begins, at least, so that servers that started recently
+// have start times after zero.
+const clockMargin = 24 * time.Hour
 
-// epochAlignment aligns the clocks of all cores: gossip messages state the time they were sent modulo this value.
-const epochAlignment = 1 << 16 * time.Millisecond
+// clockAlignment is the period by which the clocks of all cores agree: gossip messages state the time at which they were
+// sent modulo this value.
+const clockAlignment = 1 << 16 * time.Millisecond
 
 // Limits contains what a core enforces in addition to the balancer's decisions. In a slice that is indexed by
 // class, a class beyond its end has the zero value; in NonIdempotent it counts as non-idempotent.
 type Limits struct {
 	ClassNames    []string // names under which answers are counted
 	FollowUpParts []int    // per class: number of parts of its second step; 0: one step only
-	// NonIdempotent states per class, where shard maps change, that none of its parts may run twice.
+	// NonIdempotent states per class whether its parts must not run twice. It is used only where shard maps change.
 	NonIdempotent []bool
-	// DedupWindows is per class how long after an attempt that may have run a part may be sent again; 0: no limit.
+	// DedupWindows is per class how long a part may be sent again, from its first attempt that may have run; 0: no limit.
 	DedupWindows   []time.Duration
 	MaxOpen        int           // queries and parts that may be open at once; 0: no limit
 	MaxCallParts   int           // parts that may share one call; 0 and 1: one part per call
 	RetryAfter     time.Duration // Retry-After of requests that the core itself rejects, such as because of MaxOpen
-	DeadlineMargin time.Duration // a query that fails or is rejected so shortly before its deadline counts as expired
+	DeadlineMargin time.Duration // a query that fails or is rejected this close to its deadline counts as expired
 }
 
 // Core manages the open queries and attempts of one aggregator. It is not safe for concurrent use: all its methods, and
@@ -46,10 +48,10 @@
 	Gossip     GossipSender    // nil: no gossip is sent
 	Outliers   *outlier.Table  // nil: outliers are not detected; set together with Gossip
 
-	balancer *balance.Balancer
-	backend  Backend
-	limits   Limits
-	epoch    time.Time // zero of the balancer's clock
+	balancer  *balance.Balancer
+	backend   Backend
+	limits    Limits
+	clockZero time.Time // zero of the balancer's clock
 
 	lastID    balance.ID // of queries and parts, which share one sequence
 	queries   map[balance.ID]*query
@@ -80,10 +82,10 @@
 // on. start is the current time.
 func NewCore(b *balance.Balancer, backend Backend, limits Limits, start time.Time) *Core {
 	return &Core{
-		balancer: b,
-		backend:  backend,
-		limits:   limits,
-		epoch:    clockEpoch(start),
+		balancer:  b,
+		backend:   backend,
+		limits:    limits,
+		clockZero: alignedClockZero(start),
 
 		queries:    map[balance.ID]*query{},
 		byRequest:  map[*Request]*query{},
@@ -97,11 +99,11 @@
 	}
 }
 
-// clockEpoch returns the zero of the balancer's clock for a core that is created at start: a multiple of
-// epochAlignment, less epochMargin.
-func clockEpoch(start time.Time) time.Time {
-	sinceAligned := start.Sub(start.Truncate(epochAlignment))
-	return start.Add(-epochMargin - sinceAligned)
+// alignedClockZero returns the zero of the balancer's clock for a core that is created at start: a multiple of
+// clockAlignment, less clockMargin.
+func alignedClockZero(start time.Time) time.Time {
+	sinceAligned := start.Sub(start.Truncate(clockAlignment))
+	return start.Add(-clockMargin - sinceAligned)
 }
 
 // OpenQueries returns the number of queries that have no final answer yet.
@@ -111,13 +113,13 @@
 func (c *Core) Load() int { return len(c.queries) + len(c.parts) }
 
 // clock converts a time to the balancer's clock, which gossip messages use, too.
-func (c *Core) clock(t time.Time) time.Duration { return t.Sub(c.epoch) }
+func (c *Core) clock(t time.Time) time.Duration { return t.Sub(c.clockZero) }
 
-// Turn handles events, performs the actions that the balancer decides on, and returns the latest time of the next turn;
-// zero if nothing is due.
+// Turn handles events, performs the actions that the balancer decides on, and returns the time by which the next turn
+// must run; zero if none has to run before there are new events.
 func (c *Core) Turn(now time.Time, events []Event) (next time.Time) {
 	c.now = now
-	c.wallClock.observe(c.clock(now), now, c.epoch)
+	c.wallClock.observe(c.clock(now), now, c.clockZero)
 	for _, event := range events {
 		c.handle(event)
 	}
--- a/internal/aggregator/core_test.go
+++ b/internal/aggregator/core_test.go
@@ -150,7 +150,7 @@
 	h.endAll(&AttemptError{Progress: NotConnected, Canceled: true})
 	h.now = h.now.Add(time.Second)
 	if len(h.attempts) > 0 {
-		t.Errorf("sent again after %d", sent)
+		t.Errorf("sent again after the client disconnected, with %d attempts in flight", sent)
 	}
 }
 
@@ -178,7 +178,7 @@
 	first := NewCore(b, nil, Limits{}, startTime)
 	second := NewCore(b, nil, Limits{}, startTime.Add(12345*time.Millisecond))
 	at := startTime.Add(time.Minute)
-	if apart := (first.clock(at) - second.clock(at)) % epochAlignment; apart != 0 {
+	if apart := (first.clock(at) - second.clock(at)) % clockAlignment; apart != 0 {
 		t.Errorf("the clocks differ by %v modulo epochAlignment", apart)
 	}
 }
@@ -208,7 +208,7 @@
 		{ID: "a", State: balance.Removed},
 	}})
 	started := list.Endpoints[0].Started
-	if started != h.core.clock(startTime)-time.Minute || started < epochMargin-time.Minute {
+	if started != h.core.clock(startTime)-time.Minute || started < clockMargin-time.Minute {
 		t.Errorf("%+v", list.Endpoints)
 	}
 	if list.Endpoints[1].Started != 0 || list.Endpoints[2].Started != 0 {
--- a/internal/aggregator/harness_test.go
+++ b/internal/aggregator/harness_test.go
@@ -25,7 +25,7 @@
 }
 
 // harness contains a core with a backend that records attempts, and clients that record their answers. Its clock
-// advances only by the test.
+// advances only when the test advances it.
 type harness struct {
 	t         *testing.T
 	core      *Core
--- a/internal/aggregator/loop.go
+++ b/internal/aggregator/loop.go
@@ -34,7 +34,7 @@
 	// Handle handles a message, if it is one of the adapter's, and reports whether it is; it returns events for the
 	// core.
 	Handle(now time.Time, message Message) (events []Event, handled bool)
-	// Sweep does what is due and returns the latest time of the next call; zero if nothing is due.
+	// Sweep does what is due and returns the time by which it must be called again; zero if nothing is pending.
 	Sweep(now time.Time) (events []Event, next time.Time)
 }
 
--- a/internal/aggregator/maintenance.go
+++ b/internal/aggregator/maintenance.go
@@ -9,8 +9,8 @@
 // maxRemovedServers limits the number of removed servers whose ids are retained.
 const maxRemovedServers = 4096
 
-// maintenance stores which servers operators have detached and attached. It and the endpoint list do not change each
-// other: a server accepts new work only if both allow it.
+// maintenance stores which servers operators have detached and attached. It is independent of the endpoint list: a
+// server accepts new work only if both allow it.
 type maintenance struct {
 	detached map[balance.Replica]bool // taken out of service by an operator
 	// attached is when servers were attached again. They were usually restarted while detached, which the endpoint list
@@ -53,7 +53,7 @@
 		return
 	}
 	c.traceMaintenance(changed)
-	if !c.KnowsServer(changed.Server) { // from a previous process, which had it listed
+	if !c.KnowsServer(changed.Server) { // persisted by a previous process, which had the server listed
 		m.known[changed.Server] = false
 	}
 	if changed.Detached {
--- a/internal/aggregator/maintenance_test.go
+++ b/internal/aggregator/maintenance_test.go
@@ -12,12 +12,13 @@
 	h.turn(MaintenanceChanged{Server: server, Detached: detached})
 }
 
-// sentTo submits queries of one part and returns how many attempts were sent to a server.
-func (h *harness) sentTo(server balance.Replica, name string) (count int) {
+// sentTo submits queries of one part, with ids that begin with idPrefix, and returns how many attempts were sent to a
+// server.
+func (h *harness) sentTo(server balance.Replica, idPrefix string) (count int) {
 	h.t.Helper()
 	for i := range 20 {
 		h.attempts, h.servers = nil, nil
-		h.request(fmt.Sprint(name, i), 0, 1)
+		h.request(fmt.Sprint(idPrefix, i), 0, 1)
 		for n, attempt := range h.attempts {
 			if h.servers[n].ID == server {
 				count++
--- a/internal/aggregator/messages.go
+++ b/internal/aggregator/messages.go
@@ -44,8 +44,8 @@
 		Elapsed time.Duration
 		Report  *balance.LoadReport // nil: none
 	}
-	// LateAnswer reports that a server answered an attempt after it was canceled: the server is responsive, and its
-	// answer is overdue.
+	// LateAnswer reports that a server answered an attempt after it was canceled, which shows that the server is
+	// responsive.
 	LateAnswer struct{ Server balance.Replica }
 	// ShardMapOffered is the response of a shard map source. Map is nil if the source has nothing newer.
 	ShardMapOffered struct {
--- a/internal/aggregator/ports.go
+++ b/internal/aggregator/ports.go
@@ -25,7 +25,7 @@
 	Probe(now time.Time, to Server)
 }
 
-// GossipSender sends gossip messages to the other aggregators of the tier, best effort.
+// GossipSender sends gossip messages to the other aggregators, best effort.
 type GossipSender interface {
 	// Broadcast sends a payload to all of them. It is called on the loop and must not block.
 	Broadcast(payload []byte)
@@ -65,7 +65,8 @@
 			return health.ConnectFailure
 		}
 	case balance.Canceled:
-		// After the objective the server was unresponsive. Before it the client disconnected, or another part failed.
+		// An attempt that is canceled after its objective shows that the server was unresponsive. An earlier one was
+		// canceled because the client disconnected, or because another part failed.
 		if now.Sub(s.Sent) >= objective {
 			return health.Failure
 		}
--- a/internal/aggregator/query.go
+++ b/internal/aggregator/query.go
@@ -20,13 +20,13 @@
 	inFlight int     // attempts of all its steps
 	index    int     // in Core.deadlines
 
-	followUp           bool    // it is in its second step
-	firstStep          []*part // answered parts of the first step, once the second has begun
-	firstStepCompleted bool
+	followUp          bool    // it is in its second step
+	firstStep         []*part // answered parts of the first step, once the second has begun
+	firstStepComplete bool
 
 	// Used only where shard maps change.
 	view        *shardmap.View           // that it is pinned to; nil where the servers of a shard are fixed
-	placement   *shardmap.QueryPlacement // its parts, for the resharding rules
+	placement   *shardmap.QueryPlacement // its parts on that view; decides whether it may be restarted
 	restarts    int
 	restarting  bool // it restarts once none of its attempts is in flight
 	awaitingMap bool // it waits for a newer map
--- a/internal/aggregator/request.go
+++ b/internal/aggregator/request.go
@@ -9,9 +9,9 @@
 
 // PartSpec is one part of a request.
 type PartSpec struct {
-	Shard    int     // shard number, or shardmap.ID where shard maps change
-	Weight   float64 // fraction of the answer that the part contributes
-	WorkHint time.Duration
+	Shard    int           // shard number, or shardmap.ID where shard maps change
+	Weight   float64       // fraction of the answer that the part contributes
+	WorkHint time.Duration // estimate of the part's work; 0: none
 }
 
 // Request is one query as a frontend received it. The core owns it from its RequestArrived event on.
@@ -19,7 +19,7 @@
 	ID       string // prefix of the part names on the wire; a request is rejected while its id is in use
 	Class    int
 	Tenant   int
-	Key      string
+	Key      string // resource that the query is about; empty: none
 	Arrived  time.Time
 	Timeout  time.Duration // how long the client waits, counted from Arrived
 	IsRetry  bool
@@ -48,7 +48,7 @@
 // Outcomes of a query.
 const (
 	StatusServed       FinalStatus = iota // answered, completely or partially
-	StatusRejected                        // no part that must not run twice has run; the client may retry
+	StatusRejected                        // no part has run, or its parts may run again: the client may retry
 	StatusFailed                          // a part may have run
 	StatusDisconnected                    // the client disconnected; not passed to a Frontend
 )
--- a/internal/aggregator/resharding_harness_test.go
+++ b/internal/aggregator/resharding_harness_test.go
@@ -169,8 +169,8 @@
 	h.t.Helper()
 	c := h.core
 	epochs, queries := c.Resharding.Views.Pinned()
-	held := c.OpenQueries() + len(c.parts) + len(c.attempts) + len(c.requestIDs)
-	if epochs+queries > 0 || held > 0 {
+	remaining := c.OpenQueries() + len(c.parts) + len(c.attempts) + len(c.requestIDs)
+	if epochs+queries > 0 || remaining > 0 {
 		h.t.Errorf("left: %d epochs pinned by %d queries, %d queries, %d parts, %d attempts, %d request ids",
 			epochs, queries, c.OpenQueries(), len(c.parts), len(c.attempts), len(c.requestIDs))
 	}
--- a/internal/aggregator/resharding_test.go
+++ b/internal/aggregator/resharding_test.go
@@ -23,7 +23,7 @@
 		t.Fatalf("in flight: %s", h.inFlight())
 	}
 	h.endAt(otherReplica(first), 2, mapRejection(shardmap.NoLongerServed, h.shardMap.Epoch))
-	if now := h.firstServer(); now != "c" && now != "d" {
+	if server := h.firstServer(); server != "c" && server != "d" {
 		t.Fatalf("in flight: %s", h.inFlight())
 	}
 	if h.attempts[0].Epoch != h.shardMap.Epoch {
--- a/internal/aggregator/trace.go
+++ b/internal/aggregator/trace.go
@@ -39,7 +39,7 @@
 	queryNotServed traceKind = iota
 	attemptFailed
 	endpointChanged
-	maintenanceCall
+	detachmentChanged
 )
 
 // traceEntry is one event of a trace. It is formatted only when the trace is read.
@@ -150,5 +150,5 @@
 	if changed.Detached {
 		state = "taken out by an operator"
 	}
-	c.trace.add(traceEntry{timestamp: c.now, kind: maintenanceCall, server: changed.Server, detail: state})
+	c.trace.add(traceEntry{timestamp: c.now, kind: detachmentChanged, server: changed.Server, detail: state})
 }
--- a/internal/aggregator/wallclock.go
+++ b/internal/aggregator/wallclock.go
@@ -17,17 +17,17 @@
 	stepRetention = time.Minute
 )
 
-// wallClock compares the machine's wall clock, which is common to all machines and may be set at any time, with the
-// elapsed time. Only the start times of servers are stated on the wall clock.
+// wallClock detects steps of the machine's wall clock by comparing it with the elapsed time. Only the start times of
+// servers are stated on the wall clock: it is the only clock that all machines share, but it may be set at any time.
 type wallClock struct {
-	offset    time.Duration // of the wall clock from the elapsed time since the core's epoch
+	offset    time.Duration // of the wall clock from the balancer's clock, counted from the same zero
 	step      time.Duration // by how much it was last set
 	steppedAt time.Duration // when, on the balancer's clock
 }
 
-// observe compares the two clocks. elapsed is the time since epoch on the balancer's clock.
-func (w *wallClock) observe(elapsed time.Duration, now, epoch time.Time) {
-	offset := now.Round(0).Sub(epoch.Round(0)) - elapsed
+// observe compares the two clocks. elapsed is the current time on the balancer's clock, and clockZero that clock's zero.
+func (w *wallClock) observe(elapsed time.Duration, now, clockZero time.Time) {
+	offset := now.Round(0).Sub(clockZero.Round(0)) - elapsed
 	if step := offset - w.offset; step.Abs() >= minWallStep {
 		w.step = step
 		w.steppedAt = elapsed
