--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -50,7 +50,8 @@
 	attempts      []*attempt
 }
 
-// dispatch writes a batch on a connection that accepts it, or queues it for a new one.
+// dispatch writes a batch on a connection that accepts it, or queues it for a new one. If that leaves no connection idle,
+// it dials another one for the next batch, if mayAddConn allows it.
 func (p *Pool) dispatch(now time.Time, batch *batch) {
 	conn, idle := p.leastLoaded(now, batch)
 	if conn == nil {
@@ -80,8 +81,8 @@
 	return best, idle
 }
 
-// mayAddConn reports whether another connection to a server may be opened for its next part. Guards the parts that would
-// share a connection: a corrupt answer to one of them ends the attempts of all. A quarter of Limits.MaxConnections is
+// mayAddConn reports whether another connection to a server may be opened for its next part, which would otherwise share
+// one: a corrupt answer to one part ends the attempts of all parts on its connection. A quarter of Limits.MaxConnections is
 // reserved for servers without a connection.
 func (p *Pool) mayAddConn(h *host) bool {
 	return len(h.conns) < p.limits.ConnsPerServer &&
@@ -157,8 +158,8 @@
 }
 
 // endUnsendable ends those attempts of a batch that must not be sent on their connection, which is open now: the server may
-// have begun draining, changed its address or restarted, and attempts may have expired. Attempts meant for a server's
-// previous process were not counted against the limit for a server that is warming up.
+// have begun draining, changed its address or restarted, and attempts may have expired. Traffic to a restarted
+// server is limited while it warms up, and attempts meant for its previous process were not counted against that limit.
 func (p *Pool) endUnsendable(now time.Time, batch *batch, listed aggregator.Server) {
 	sendable := batch.attempts[:0]
 	for _, attempt := range batch.attempts {
--- a/internal/backend/leaf/conn.go
+++ b/internal/backend/leaf/conn.go
@@ -68,7 +68,7 @@
 	closeCause error                // why the pool aborted it; nil: it did not
 	streams    map[string]*attempt  // in flight, by part name
 	probes     []*probe             // written and not answered, in the order in which their answers arrive
-	canceledAt map[string]time.Time // when attempts ended whose answers may still arrive, by part name
+	canceledAt map[string]time.Time // when canceled attempts ended whose answers may still arrive, by part name
 
 	lastUsed     time.Time // the last activity that the server's idle timer is certain to count
 	lastReceived time.Time // when the server last sent a complete frame
@@ -133,7 +133,7 @@
 		streams:    map[string]*attempt{},
 		canceledAt: map[string]time.Time{},
 	}
-	if addr == "" || !p.reserveConn() {
+	if addr == "" || !p.ensureConnCapacity() {
 		p.mailbox.Put(dialResult{conn: c, err: errNoConnection})
 	} else {
 		p.Stats.Dials++
@@ -143,13 +143,12 @@
 	host.conns = append(host.conns, c)
 }
 
-// reserveConn reports whether one more connection may be opened. At the limit it closes an idle one to make room.
-func (p *Pool) reserveConn() bool {
+// ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle one first.
+func (p *Pool) ensureConnCapacity() bool {
 	return p.connCount < p.limits.MaxConnections || p.evictIdle()
 }
 
-// evictIdle closes the connection that has been idle longest, and reports whether there was one. Guards
-// Limits.MaxConnections.
+// evictIdle closes the connection that has been idle longest, and reports whether there was one.
 func (p *Pool) evictIdle() bool {
 	var oldest *conn
 	for _, h := range p.hosts {
@@ -223,10 +222,10 @@
 	switch {
 	case conn.isClosed():
 	case conn.transport == nil:
-		p.connLost(conn, cause)
+		p.finishClose(conn, cause)
 	case len(conn.streams) == 0:
 		conn.transport.Close(cause)
-		p.connLost(conn, cause)
+		p.finishClose(conn, cause)
 	default:
 		p.removeConn(conn)
 		conn.closeCause = cause
@@ -256,11 +255,12 @@
 		p.Stats.Broken++
 		c.transport.Close(m.err)
 	}
-	p.connLost(c, m.err)
+	p.finishClose(c, m.err)
 }
 
-// connLost marks a connection whose socket is closed as closed, and ends everything in flight on it.
-func (p *Pool) connLost(c *conn, cause error) {
+// finishClose marks a connection as closed and ends everything in flight on it. Its transport, if there is one, has been
+// closed.
+func (p *Pool) finishClose(c *conn, cause error) {
 	if c.isClosed() {
 		return
 	}
--- a/internal/backend/leaf/frame.go
+++ b/internal/backend/leaf/frame.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// checkAnswerPrefix is checkPrefix for the bytes received of an answer's type and payload, n bytes long together.
+// checkAnswerPrefix is checkPrefix for an answer frame. body is what was received of its type and payload, which have n
+// bytes together.
 func checkAnswerPrefix(body []byte, n int) error {
 	end := bytes.IndexByte(body, '\n')
 	switch {
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -64,7 +64,8 @@
 	return aggregator.Server{ID: id, Addr: b.addr, Started: b.started}
 }
 
-// send sends a part, to be written before by, to the server's listed address, and returns its attempt.
+// send sends a part to the server's listed address and returns its attempt, which must be written before by, if that is not
+// zero.
 func (b *loopback) send(by time.Time) aggregator.AttemptID {
 	b.sentCount++
 	id := aggregator.AttemptID{Part: balance.ID(b.sentCount)}
@@ -83,7 +84,7 @@
 	return id
 }
 
-// handleUntil handles messages until one is as wanted, and the others taken from the mailbox along with it.
+// handleUntil takes and handles messages until a wanted one is among them.
 func (b *loopback) handleUntil(wanted func(aggregator.Message) bool) {
 	b.t.Helper()
 	for found := false; !found; {
--- a/internal/backend/leaf/pool.go
+++ b/internal/backend/leaf/pool.go
@@ -15,7 +15,7 @@
 
 // Limits are the limits of a pool on connections and on waiting for a server.
 type Limits struct {
-	MaxStreams     int           // calls in flight on one connection
+	MaxStreams     int           // attempts in flight on one connection
 	IdleTimeout    time.Duration // after which a server closes an idle connection; 0: never
 	ConnectTimeout time.Duration // of one dial; probes time out after it, too
 	MaxConnections int           // to all servers together, including those being dialed
--- a/internal/backend/leaf/pool_test.go
+++ b/internal/backend/leaf/pool_test.go
@@ -309,7 +309,7 @@
 	events, _ := h.pool.Sweep(h.now)
 	collect(events)
 	h.pool.Probe(h.now, h.server())
-	for _, text := range []string{"queue=9", "E", "queue=3,util=0.5,new=x"} { // the first two are late
+	for _, text := range []string{"queue=9", "E", "queue=3,util=0.5,new=x"} { // the first two are overdue
 		answer := framesReceived{conn: transport.conn, frames: []Frame{{frameLoad, []byte(text)}}}
 		events, _ := h.pool.Handle(h.now, answer)
 		collect(events)
@@ -331,9 +331,9 @@
 		canceledAfter time.Duration
 		received      bool // a probe was answered before the cancellation
 		mayRetry      bool
-		abandoned     bool
+		notReused     bool
 	}{
-		"nothing received for long": {canceledAfter: 2 * time.Second, abandoned: true},
+		"nothing received for long": {canceledAfter: 2 * time.Second, notReused: true},
 		"probe answered": {
 			canceledAfter: 2 * time.Second,
 			received:      true,
@@ -343,7 +343,7 @@
 		"canceled soon, and to be retried": {
 			canceledAfter: 100 * time.Millisecond,
 			mayRetry:      true,
-			abandoned:     true,
+			notReused:     true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -357,7 +357,7 @@
 			h.cancel(first, c.mayRetry)
 			transport.settle(tcp.WriteComplete)
 			h.runTurn()
-			if next := h.send(); (next.transport != transport) != c.abandoned {
+			if next := h.send(); (next.transport != transport) != c.notReused {
 				t.Errorf("sent on %v", next.transport)
 			}
 		})
