--- a/internal/control/shardmap/interleavings_test.go
+++ b/internal/control/shardmap/interleavings_test.go
@@ -8,10 +8,10 @@
 )
 
 // The tests of this file explore all states of one change of shards with one correction, which must not run twice, and
-// one search. Nodes may receive an epoch, and it may be published and adopted (epochs may be skipped), and parts may be
-// sent, arrive, be answered, lose their answers or fail to connect, all in any order. The waits of the plan are left
-// out, since safety must not depend on them. The nodes are a model; the maps, the plan's steps and the decisions after
-// rejections are those of the package.
+// one search. In any order, servers receive an epoch, the epoch is published and adopted (epochs may be skipped), and
+// parts are sent, arrive, are answered, lose their answers or fail to connect. The waits of the plan are left out, since
+// safety must not depend on them. The servers are a model; the maps, the plan's steps and the decisions after rejections
+// are those of the package.
 
 // queryKind is one of the two queries of the model.
 type queryKind int
@@ -67,10 +67,10 @@
 
 // systemState is a state of the complete model. Maps are identified by their indices.
 type systemState struct {
-	received       [4]int // newest map that each node has received
+	received       [4]int // newest map that each server has received
 	published      int
 	adopted        int // by the aggregator
-	correctionRuns int // how often the correction ran at a node
+	correctionRuns int // how often the correction ran at a server
 	queries        [2]queryState
 }
 
@@ -148,7 +148,7 @@
 	x.stack = append(x.stack, next)
 }
 
-// mapTransitions has nodes receive an epoch, publishes it or has the aggregator adopt it. A node receives the epoch
+// mapTransitions has servers receive an epoch, publishes it or has the aggregator adopt it. Servers receive the epoch
 // after the published one; once all have received it, it is published.
 func (x *explorer) mapTransitions(s systemState) {
 	if s.published+1 < len(x.maps) {
@@ -310,7 +310,7 @@
 	return p
 }
 
-// serves reports whether a node serves a shard by the newest map that it has received, and that map's epoch.
+// serves reports whether a server serves a shard by the newest map that it has received, and that map's epoch.
 func (x *explorer) serves(s *systemState, server int, id ID) (bool, Epoch) {
 	m := x.maps[s.received[server]]
 	shard := m.Shard(id)
--- a/internal/control/shardmap/planning.go
+++ b/internal/control/shardmap/planning.go
@@ -10,7 +10,7 @@
 
 // Timing contains the times that the waits of plans are derived from.
 type Timing struct {
-	MapPropagation time.Duration // until every aggregator has adopted an epoch
+	MapPropagation time.Duration // from the publication of an epoch until every aggregator has adopted it
 	MaxQueryTime   time.Duration // the longest deadline of a query: after it no query is pinned to an older epoch
 }
 
--- a/internal/control/shardmap/rollout.go
+++ b/internal/control/shardmap/rollout.go
@@ -11,7 +11,7 @@
 	epoch      Epoch
 }
 
-// NodeStatus reports the state of the nodes.
+// NodeStatus reports the state of the servers.
 type NodeStatus interface {
 	// HasCopied reports whether a joining server has copied all of a shard.
 	HasCopied(shard ID, server string) bool
@@ -23,17 +23,17 @@
 type Action struct {
 	Publish    *Map      // map of the next epoch; nil: wait, unless Done
 	Step       int       // index of the step that Publish carries out
-	CheckAt    time.Time // when to call Next again, unless the status of a node changes earlier
+	CheckAt    time.Time // when to call Next again, unless the status of a server changes earlier
 	WaitingFor string    // reason for the wait, for operators
 	Done       bool      // all steps are published
 }
 
-// nodePollInterval is the time until Next should be called again while a step waits for nodes.
-const nodePollInterval = 20 * time.Millisecond
+// serverPollInterval is the time until Next should be called again while a step waits for servers.
+const serverPollInterval = 20 * time.Millisecond
 
 // Next returns the next action, given the published map. An error means that the remaining steps cannot be carried out;
 // the published map stays valid.
-func (r *Rollout) Next(now time.Time, published *Map, nodes NodeStatus) (Action, error) {
+func (r *Rollout) Next(now time.Time, published *Map, status NodeStatus) (Action, error) {
 	if r.epoch != published.Epoch {
 		r.epoch = published.Epoch
 		r.epochSince = now
@@ -49,25 +49,25 @@
 	if earliest := r.epochSince.Add(step.MinWait); now.Before(earliest) {
 		return Action{CheckAt: earliest, WaitingFor: step.WaitReason}, nil
 	}
-	if reason := step.waitingForNode(published, nodes); reason != "" {
-		return Action{CheckAt: now.Add(nodePollInterval), WaitingFor: reason}, nil
+	if reason := step.waitingForServer(published, status); reason != "" {
+		return Action{CheckAt: now.Add(serverPollInterval), WaitingFor: reason}, nil
 	}
 	next, err := step.Apply(published)
 	return Action{Publish: next, Step: done}, err
 }
 
-// waitingForNode returns why a step has to wait for a node, or an empty text if it does not.
-func (s *Step) waitingForNode(published *Map, nodes NodeStatus) string {
+// waitingForServer returns why a step has to wait for a server, or an empty text if it does not.
+func (s *Step) waitingForServer(published *Map, status NodeStatus) string {
 	for _, shard := range s.Put {
 		current := published.Shard(shard.ID)
 		if current == nil {
 			continue
 		}
 		for _, replica := range current.Replicas {
-			if s.AwaitCopies && replica.Joining && !nodes.HasCopied(shard.ID, replica.Server) {
+			if s.AwaitCopies && replica.Joining && !status.HasCopied(shard.ID, replica.Server) {
 				return replica.Server + " has not copied the block yet"
 			}
-			if s.AwaitEpochKnown && nodes.KnownEpoch(replica.Server) < published.Epoch {
+			if s.AwaitEpochKnown && status.KnownEpoch(replica.Server) < published.Epoch {
 				return replica.Server + " has not received the epoch yet"
 			}
 		}
--- a/internal/control/shardmap/views.go
+++ b/internal/control/shardmap/views.go
@@ -13,12 +13,12 @@
 	MaxPinnedEpochs   int           // epochs retained in addition to the current one, at least 1
 	MaxPinnedAge      time.Duration // of a pinned epoch since it was replaced
 	WarmupPeriod      time.Duration // until a new replica of a shard receives its full traffic; 0: at once
-	WarmupMinFraction float64       // fraction of the full traffic with which it starts, over 0 to 1
+	WarmupMinFraction float64       // fraction of the full traffic with which it starts, over 0 and at most 1
 	MaxSourceLag      time.Duration // how long the source may lag behind an epoch that a server named
 }
 
-// validate returns an error that names the invalid setting by its key in the operators' files, where the key of
-// most_pinned is pinned.
+// validate returns an error that names the invalid setting by its key in the operators' files, except for most_pinned,
+// whose key is pinned.
 func (o ViewOptions) validate() error {
 	switch {
 	case o.MaxPinnedEpochs < 1:
@@ -109,7 +109,7 @@
 	}
 	old := vs.current.Map
 	if published.Epoch == old.Epoch && published.Archive == old.Archive && published.sameShards(old) {
-		vs.settleRequest()
+		vs.clearSatisfiedRequest()
 		return false, nil
 	}
 	if err := published.ValidateSuccession(old); err != nil {
@@ -142,7 +142,7 @@
 func (vs *Views) adopt(m *Map) {
 	vs.current = &View{Map: m}
 	vs.Stats.Accepted++
-	vs.settleRequest()
+	vs.clearSatisfiedRequest()
 }
 
 // startWarmup records when an epoch was adopted, and drops epochs whose new replicas have warmed up.
@@ -155,17 +155,17 @@
 	}
 }
 
-// settleRequest ends the request for a newer map once the current one is as new as any epoch that a server named.
-func (vs *Views) settleRequest() {
+// clearSatisfiedRequest ends the request for a newer map if the current one is as new as any epoch that a server named.
+func (vs *Views) clearSatisfiedRequest() {
 	if vs.current != nil && vs.current.Map.Epoch >= vs.newestSeen {
 		vs.mapRequested = false
 	}
 }
 
 // SourceUnchanged handles an answer of the source that it has no newer map. Newer epochs that servers named are then
-// considered false, unless the first of them was named less than MaxSourceLag ago: then pollAgain is true, and the
-// source should be polled again soon.
-func (vs *Views) SourceUnchanged(now time.Time) (pollAgain bool) {
+// treated as false reports, unless the first of them was named less than MaxSourceLag ago: then requestAgain is true, and
+// a newer map should be requested again soon.
+func (vs *Views) SourceUnchanged(now time.Time) (requestAgain bool) {
 	if vs.mapRequested && now.Sub(vs.requestedSince) < vs.options.MaxSourceLag {
 		return true
 	}
@@ -176,7 +176,7 @@
 	return false
 }
 
-// ObserveEpoch handles an epoch that a server named, and reports whether the source should be polled for a newer map.
+// ObserveEpoch handles an epoch that a server named, and reports whether a newer map should be requested.
 func (vs *Views) ObserveEpoch(now time.Time, epoch Epoch) (requestMap bool) {
 	alreadyAdopted := vs.current != nil && epoch <= vs.current.Map.Epoch
 	alreadyRequested := vs.mapRequested && epoch <= vs.newestSeen
@@ -252,8 +252,8 @@
 	return len(vs.pinned), queries
 }
 
-// TrafficFraction returns the fraction of its full traffic that a replica should receive at now, over 0 to 1. Replicas
-// that are new to a shard warm up.
+// TrafficFraction returns the fraction of its full traffic that a replica should receive at now, over 0 and at most
+// 1. Replicas that are new to a shard warm up.
 func (vs *Views) TrafficFraction(now time.Time, r Replica) float64 {
 	if r.ServingSince == 0 || vs.options.WarmupPeriod <= 0 {
 		return 1
