--- a/internal/aggregator/benchmark_test.go
+++ b/internal/aggregator/benchmark_test.go
@@ -63,18 +63,18 @@
 }
 
 // Measures the cost of receiving, sending and answering one query, depending on the number of other open queries and on
-// the number of nodes. Run with -bench Held.
+// the number of servers. Run with -bench Held.
 func BenchmarkCore_OneQueryWhileOthersAreHeld(b *testing.B) {
-	for _, nodes := range []int{12, 1000} {
-		for _, held := range []int{0, 100, 1000, 10_000} {
-			b.Run(fmt.Sprintf("%d-nodes/%d-held", nodes, held), func(b *testing.B) {
-				c, backend := coreWithOpenQueries(b, held, nodes)
+	for _, servers := range []int{12, 1000} {
+		for _, openQueries := range []int{0, 100, 1000, 10_000} {
+			b.Run(fmt.Sprintf("%d-nodes/%d-held", servers, openQueries), func(b *testing.B) {
+				c, backend := coreWithOpenQueries(b, openQueries, servers)
 				now := startTime
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					now = now.Add(time.Millisecond)
-					request := onePartRequest(fmt.Sprint("q", i), 0, i%nodes, now)
+					request := onePartRequest(fmt.Sprint("q", i), 0, i%servers, now)
 					c.Turn(now, []Event{RequestArrived{Request: request}})
 					var ends []Event
 					for _, s := range backend.sent {
--- a/internal/aggregator/core.go
+++ b/internal/aggregator/core.go
@@ -19,8 +19,8 @@
 // have start times after zero.
 const clockMargin = 24 * time.Hour
 
-// clockAlignment is the period by which the clocks of all cores agree: gossip messages state the time at which they were
-// sent modulo this value.
+// clockAlignment is the period by which the clocks of all cores agree: gossip messages state the time at which they
+// were sent modulo this value.
 const clockAlignment = 1 << 16 * time.Millisecond
 
 // Limits contains what a core enforces in addition to the balancer's decisions. In a slice that is indexed by
@@ -30,7 +30,8 @@
 	FollowUpParts []int    // per class: number of parts of its second step; 0: one step only
 	// NonIdempotent states per class whether its parts must not run twice. It is used only where shard maps change.
 	NonIdempotent []bool
-	// DedupWindows is per class how long a part may be sent again, from its first attempt that may have run; 0: no limit.
+	// DedupWindows is per class how long a part may be sent again, from its first attempt that may have run; 0: no
+	// limit.
 	DedupWindows   []time.Duration
 	MaxOpen        int           // queries and parts that may be open at once; 0: no limit
 	MaxCallParts   int           // parts that may share one call; 0 and 1: one part per call
--- a/internal/aggregator/resharding.go
+++ b/internal/aggregator/resharding.go
@@ -126,7 +126,7 @@
 }
 
 // rerouteExpiredViews reroutes the queries that are pinned to expired views. A query with a part that may be running
-// and must not run twice keeps its view until its answer or its deadline.
+// and must not run twice stays on its view until its answer or its deadline.
 func (c *Core) rerouteExpiredViews() {
 	if c.Resharding == nil {
 		return
--- a/internal/aggregator/resharding_test.go
+++ b/internal/aggregator/resharding_test.go
@@ -334,7 +334,8 @@
 	}
 }
 
-// Queries on views beyond MaxPinnedEpochs are restarted if they may be; the others keep their view until their answer.
+// Queries on views beyond MaxPinnedEpochs are restarted if they may be; the others stay on their view until their
+// answer.
 func TestResharding_QueriesLeaveExpiredViews(t *testing.T) {
 	h := newReshardingHarness(t)
 	h.requestShards("idempotent", 0, "")
@@ -362,7 +363,7 @@
 		}
 		h.canceled = nil
 	}
-	for _, id := range []string{"idempotent", "not idempotent"} { // a correction in flight keeps its view
+	for _, id := range []string{"idempotent", "not idempotent"} { // a correction in flight stays on its view
 		if f := h.answer(id); f.Status != StatusServed || !f.Complete {
 			t.Errorf("%s: %+v", id, f)
 		}
--- a/internal/aggregator/wallclock.go
+++ b/internal/aggregator/wallclock.go
@@ -25,7 +25,8 @@
 	steppedAt time.Duration // when, on the balancer's clock
 }
 
-// observe compares the two clocks. elapsed is the current time on the balancer's clock, and clockZero that clock's zero.
+// observe compares the two clocks. elapsed is the current time on the balancer's clock, and clockZero that clock's
+// zero.
 func (w *wallClock) observe(elapsed time.Duration, now, clockZero time.Time) {
 	offset := now.Round(0).Sub(clockZero.Round(0)) - elapsed
 	if step := offset - w.offset; step.Abs() >= minWallStep {
