--- a/internal/backend/leaf/attempt.go
+++ b/internal/backend/leaf/attempt.go
@@ -50,8 +50,8 @@
 	attempts      []*attempt
 }
 
-// dispatch writes a batch on a connection that accepts it, or queues it for a new one. If that leaves no connection idle,
-// it dials another one for the next batch, if mayAddConn allows it.
+// dispatch writes a batch on a connection that accepts it, or queues it for a new one. If that leaves no connection
+// idle, it dials another one for the next batch, if mayAddConn allows it.
 func (p *Pool) dispatch(now time.Time, batch *batch) {
 	conn, idle := p.leastLoaded(now, batch)
 	if conn == nil {
@@ -81,9 +81,9 @@
 	return best, idle
 }
 
-// mayAddConn reports whether another connection to a server may be opened for its next part, which would otherwise share
-// one: a corrupt answer to one part ends the attempts of all parts on its connection. A quarter of Limits.MaxConnections is
-// reserved for servers without a connection.
+// mayAddConn reports whether another connection to a server may be opened for its next part, which would otherwise
+// share one: a corrupt answer to one part ends the attempts of all parts on its connection. A quarter of
+// Limits.MaxConnections is reserved for servers without a connection.
 func (p *Pool) mayAddConn(h *host) bool {
 	return len(h.conns) < p.limits.ConnsPerServer &&
 		p.connCount < p.limits.MaxConnections*3/4 &&
--- a/internal/backend/leaf/conn.go
+++ b/internal/backend/leaf/conn.go
@@ -258,8 +258,8 @@
 	p.finishClose(c, m.err)
 }
 
-// finishClose marks a connection as closed and ends everything in flight on it. Its transport, if there is one, has been
-// closed.
+// finishClose marks a connection as closed and ends everything in flight on it. Its transport, if there is one, has
+// been closed.
 func (p *Pool) finishClose(c *conn, cause error) {
 	if c.isClosed() {
 		return
--- a/internal/backend/leaf/crossings_test.go
+++ b/internal/backend/leaf/crossings_test.go
@@ -165,7 +165,8 @@
 }
 
 // While a part waits for its connection, the server drains or restarts, the part's deduplication window or deadline
-// expires, or the part is canceled: it is not sent when the connection opens, and its attempt ends as one that did not run.
+// expires, or the part is canceled: it is not sent when the connection opens, and its attempt ends as one that did not
+// run.
 func TestPool_ConditionsChangeWhileDialing(t *testing.T) {
 	for name, c := range map[string]struct {
 		window   time.Duration // within which the part may be written; 0: unlimited
--- a/internal/backend/leaf/loopback_test.go
+++ b/internal/backend/leaf/loopback_test.go
@@ -64,8 +64,8 @@
 	return aggregator.Server{ID: id, Addr: b.addr, Started: b.started}
 }
 
-// send sends a part to the server's listed address and returns its attempt, which must be written before by, if that is not
-// zero.
+// send sends a part to the server's listed address and returns its attempt, which must be written before by, if that is
+// not zero.
 func (b *loopback) send(by time.Time) aggregator.AttemptID {
 	b.sentCount++
 	id := aggregator.AttemptID{Part: balance.ID(b.sentCount)}
--- a/internal/backend/leaf/pool_test.go
+++ b/internal/backend/leaf/pool_test.go
@@ -305,7 +305,7 @@
 	a, transport := h.sendWritten()
 	h.pool.Probe(h.now, h.server())
 	h.pool.Probe(h.now, h.server())
-	h.now = h.now.Add(time.Second) // past the deadline of both
+	h.now = h.now.Add(time.Second) // after the deadlines of both
 	events, _ := h.pool.Sweep(h.now)
 	collect(events)
 	h.pool.Probe(h.now, h.server())
