--- a/internal/control/shardmap/interleavings_test.go
+++ b/internal/control/shardmap/interleavings_test.go
@@ -9,9 +9,9 @@
 
 // The tests of this file explore all states of one change of shards with one correction, which must not run twice, and
 // one search. In any order, servers receive an epoch, the epoch is published and adopted (epochs may be skipped), and
-// parts are sent, arrive, are answered, lose their answers or fail to connect. The waits of the plan are left out, since
-// safety must not depend on them. The servers are a model; the maps, the plan's steps and the decisions after rejections
-// are those of the package.
+// parts are sent, arrive, are answered, lose their answers or fail to connect. The waits of the plan are left out,
+// since safety must not depend on them. The servers are a model; the maps, the plan's steps and the decisions after
+// rejections are those of the package.
 
 // queryKind is one of the two queries of the model.
 type queryKind int
