--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -51,7 +51,7 @@
 	h.serve(5, 100*ms)
 	// The class earns nothing after its objective of 1 s, and 1.5 s of the 3 s until the deadline have
 	// passed.
-	actions := h.turn(Query{ID: 900, Group: 900, TimeLeft: 1500 * ms, Parts: 1},
+	actions := h.turn(Query{ID: 900, Group: 900, RemainingTime: 1500 * ms, Parts: 1},
 		Part{ID: 901, Group: 900, Weight: 1})
 	if rejection := onlyAction[Reject](h, actions); rejection.Query != 900 || countOf[Send](actions) > 0 {
 		t.Errorf("actions %v", actions)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -31,7 +31,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		id := next
-		pending = append(pending, Query{ID: id, Group: uint64(id), TimeLeft: 3 * time.Second, Parts: 30})
+		pending = append(pending, Query{ID: id, Group: uint64(id), RemainingTime: 3 * time.Second, Parts: 30})
 		for i := range 30 {
 			pending = append(pending, Part{ID: id + 1 + ID(i), Group: uint64(id), Shard: i, Weight: 1.0 / 30})
 		}
--- a/balance/events.go
+++ b/balance/events.go
@@ -15,15 +15,15 @@
 
 // Query is a new query. Its parts follow as Part events of the same turn.
 type Query struct {
-	ID       ID
-	Group    uint64        // shared by the query and its parts
-	Class    int           // index into Settings.Classes
-	Tenant   int           // index into Settings.Tenants
-	Key      string        // resource that the query is about; empty: none
-	WorkHint time.Duration // estimate of the query's own work; 0: none
-	TimeLeft time.Duration // until the client abandons this attempt
-	IsRetry  bool          // the client marked this attempt as a retry
-	Parts    int
+	ID            ID
+	Group         uint64        // shared by the query and its parts
+	Class         int           // index into Settings.Classes
+	Tenant        int           // index into Settings.Tenants
+	Key           string        // resource that the query is about; empty: none
+	WorkHint      time.Duration // estimate of the query's own work; 0: none
+	RemainingTime time.Duration // until the client abandons this attempt
+	IsRetry       bool          // the client marked this attempt as a retry
+	Parts         int
 }
 
 // Candidate is a replica to which a part may be sent.
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -41,7 +41,7 @@
 	}
 	show(b.Turn(0, []balance.Event{
 		balance.EndpointList{Kind: balance.ListFull, Endpoints: []balance.Endpoint{{Replica: "shelf-1:8080"}}},
-		balance.Query{ID: 1, Group: 1, TimeLeft: 2 * time.Second, Parts: 1},
+		balance.Query{ID: 1, Group: 1, RemainingTime: 2 * time.Second, Parts: 1},
 		balance.Part{ID: 2, Group: 1, Weight: 1},
 	}))
 	show(b.Turn(80*time.Millisecond, []balance.Event{
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -81,11 +81,11 @@
 func (h *harness) query(q newQuery) (ID, []Event) {
 	id := h.next
 	events := []Event{Query{
-		ID:       id,
-		Group:    uint64(id),
-		Class:    q.class,
-		TimeLeft: h.b.settings.Classes[q.class].Deadline,
-		Parts:    q.parts,
+		ID:            id,
+		Group:         uint64(id),
+		Class:         q.class,
+		RemainingTime: h.b.settings.Classes[q.class].Deadline,
+		Parts:         q.parts,
 	}}
 	for i := range q.parts {
 		events = append(events, Part{
--- a/balance/lookup.go
+++ b/balance/lookup.go
@@ -107,7 +107,7 @@
 		Query:       arrived,
 		class:       class,
 		maxAttempts: b.settings.MaxAttempts,
-		deadline:    b.now + arrived.TimeLeft,
+		deadline:    b.now + arrived.RemainingTime,
 	}
 	stretch := time.Duration(class.ObjectiveStretch * float64(arrived.WorkHint))
 	query.objective = b.now + min(class.Objective+stretch, class.Deadline) - b.timeSpent(arrived)
--- a/balance/progress.go
+++ b/balance/progress.go
@@ -96,15 +96,15 @@
 // the objective.
 func (b *Balancer) timeSpent(arrived Query) time.Duration {
 	attempt := retrydetect.Attempt{
-		TimeLeft:     arrived.TimeLeft,
-		Tolerance:    remainingTimeToleranceTicks * b.settings.Tick,
-		ClientsMark:  b.settings.ClientsMarkRetries,
-		MarkedARetry: arrived.IsRetry,
+		RemainingTime: arrived.RemainingTime,
+		Tolerance:     remainingTimeToleranceTicks * b.settings.Tick,
+		ClientsMark:   b.settings.ClientsMarkRetries,
+		MarkedAsRetry: arrived.IsRetry,
 	}
 	if b.retryDetectors[arrived.Class].IsFirstAttempt(attempt) {
 		return 0
 	}
-	return max(0, b.settings.Classes[arrived.Class].Deadline-arrived.TimeLeft)
+	return max(0, b.settings.Classes[arrived.Class].Deadline-arrived.RemainingTime)
 }
 
 // stepDue returns when a query's step has to end for its answer to be within the objective. A first step
--- a/balance/query_test.go
+++ b/balance/query_test.go
@@ -91,8 +91,8 @@
 		settings := testSettings()
 		settings.ClientsMarkRetries = marks
 		h := newHarness(t, settings)
-		first := Query{Group: 1, TimeLeft: 2 * time.Second}
-		retry := Query{Group: 2, TimeLeft: 2500 * ms, IsRetry: marks}
+		first := Query{Group: 1, RemainingTime: 2 * time.Second}
+		retry := Query{Group: 2, RemainingTime: 2500 * ms, IsRetry: marks}
 		for range 5 {
 			if w := h.b.timeSpent(first); w != 0 {
 				t.Errorf("marked %v: a first attempt has waited %v", marks, w)
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -66,7 +66,7 @@
 		events := endedAttempts(b, now)
 		f.nextID += 2
 		events = append(events,
-			Query{ID: f.nextID, Group: uint64(f.nextID), TimeLeft: 3 * time.Second, Parts: 1},
+			Query{ID: f.nextID, Group: uint64(f.nextID), RemainingTime: 3 * time.Second, Parts: 1},
 			Part{ID: f.nextID + 1, Group: uint64(f.nextID), Weight: 1})
 		sends += countOf[Send](b.Turn(now, events))
 	}
--- a/internal/aggregator/query.go
+++ b/internal/aggregator/query.go
@@ -127,14 +127,14 @@
 // submit passes a query and its parts to the balancer.
 func (c *Core) submit(query *query, specs []PartSpec) {
 	c.notify(balance.Query{
-		ID:       query.id,
-		Group:    uint64(query.id),
-		Class:    query.request.Class,
-		Tenant:   query.request.Tenant,
-		Key:      query.request.Key,
-		TimeLeft: query.deadline.Sub(c.now),
-		IsRetry:  query.request.IsRetry,
-		Parts:    len(specs),
+		ID:            query.id,
+		Group:         uint64(query.id),
+		Class:         query.request.Class,
+		Tenant:        query.request.Tenant,
+		Key:           query.request.Key,
+		RemainingTime: query.deadline.Sub(c.now),
+		IsRetry:       query.request.IsRetry,
+		Parts:         len(specs),
 	})
 	c.submitParts(query, specs, "")
 }
--- a/internal/control/retrydetect/retrydetect.go
+++ b/internal/control/retrydetect/retrydetect.go
@@ -19,17 +19,17 @@
 
 // Attempt describes an attempt of a query.
 type Attempt struct {
-	TimeLeft     time.Duration // remaining time until the client abandons the attempt
-	Tolerance    time.Duration // maximum difference of remaining times that count as equal
-	ClientsMark  bool          // clients mark their retries
-	MarkedARetry bool          // the client marked this attempt as a retry; only if ClientsMark is set
+	RemainingTime time.Duration // remaining time until the client abandons the attempt
+	Tolerance     time.Duration // maximum difference of remaining times that count as equal
+	ClientsMark   bool          // clients mark their retries
+	MarkedAsRetry bool          // the client marked this attempt as a retry; only if ClientsMark is set
 }
 
 // IsFirstAttempt reports whether an attempt is the first of its query, and learns from it.
 func (d *Detector) IsFirstAttempt(attempt Attempt) bool {
-	remaining := attempt.TimeLeft
+	remaining := attempt.RemainingTime
 	switch {
-	case attempt.ClientsMark && !attempt.MarkedARetry:
+	case attempt.ClientsMark && !attempt.MarkedAsRetry:
 		d.remaining = remaining
 		return true
 	case (remaining - d.remaining).Abs() <= attempt.Tolerance:
--- a/internal/control/retrydetect/retrydetect_test.go
+++ b/internal/control/retrydetect/retrydetect_test.go
@@ -8,20 +8,22 @@
 const tick = 10 * time.Millisecond
 
 // unmarked returns an attempt of a client that does not mark its retries.
-func unmarked(remaining time.Duration) Attempt { return Attempt{TimeLeft: remaining, Tolerance: tick} }
+func unmarked(remaining time.Duration) Attempt {
+	return Attempt{RemainingTime: remaining, Tolerance: tick}
+}
 
 func TestDetector_WhereClientsMarkRetries(t *testing.T) {
 	var d Detector
-	attempt := Attempt{TimeLeft: 2 * time.Second, Tolerance: tick, ClientsMark: true}
+	attempt := Attempt{RemainingTime: 2 * time.Second, Tolerance: tick, ClientsMark: true}
 	if !d.IsFirstAttempt(attempt) {
 		t.Error("an attempt that is not marked counts as a retry")
 	}
-	attempt.MarkedARetry = true
-	attempt.TimeLeft = time.Second
+	attempt.MarkedAsRetry = true
+	attempt.RemainingTime = time.Second
 	if d.IsFirstAttempt(attempt) {
 		t.Error("a marked retry counts as a first attempt")
 	}
-	attempt.TimeLeft = 2*time.Second + tick
+	attempt.RemainingTime = 2*time.Second + tick
 	if !d.IsFirstAttempt(attempt) {
 		t.Error("a marked retry with the remaining time of a first attempt counts as a retry")
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -91,15 +91,15 @@
 		}}, nil
 	}
 	return BalancerEvent{balance.Query{
-		ID:       id,
-		Group:    group,
-		Class:    message.integerUpTo("class", math.MaxInt32),
-		Tenant:   message.integerOrZero("billing"),
-		Key:      message.textOr("resource", ""),
-		WorkHint: hint,
-		TimeLeft: message.time("grace"),
-		IsRetry:  message.integerOrZero("is_retry") != 0,
-		Parts:    int(message.number("heft")),
+		ID:            id,
+		Group:         group,
+		Class:         message.integerUpTo("class", math.MaxInt32),
+		Tenant:        message.integerOrZero("billing"),
+		Key:           message.textOr("resource", ""),
+		WorkHint:      hint,
+		RemainingTime: message.time("grace"),
+		IsRetry:       message.integerOrZero("is_retry") != 0,
+		Parts:         int(message.number("heft")),
 	}}, nil
 }
 
