--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -10,9 +10,9 @@
 
 // Reconfigure replaces the classes, the tenants, the maximum number of attempts and the longest Retry-After
 // by those of next; all other settings stay. Open queries keep the class and the number of attempts under
-// which they arrived. fresh contains the class indices that now refer to another class: the state learned of
-// the previous class is discarded. If Reconfigure returns an error, nothing has changed.
-func (b *Balancer) Reconfigure(next Settings, fresh []int) error {
+// which they arrived. replacedClasses contains the class indices that now refer to another class: the state
+// learned of the previous class is discarded. If Reconfigure returns an error, nothing has changed.
+func (b *Balancer) Reconfigure(next Settings, replacedClasses []int) error {
 	merged := b.settings
 	merged.Classes = next.Classes
 	merged.Tenants = next.Tenants
@@ -26,7 +26,7 @@
 	b.minObjective = merged.minObjective()
 	b.tenantRates = tokenbucket.New(merged.tenantRates())
 	b.resizeClasses(len(merged.Classes))
-	for _, class := range fresh {
+	for _, class := range replacedClasses {
 		b.forgetClass(class)
 	}
 	return nil
--- a/cmd/rooktrestle/main.go
+++ b/cmd/rooktrestle/main.go
@@ -108,7 +108,7 @@
 			node, err := app.LoadNode()
 			if err == nil {
 				printf(cmd.OutOrStdout(), "%s: %d classes, %d tenants, %d shards: good\n", node.Name,
-					len(node.Deployment.Classes), len(node.Deployment.Tenants), node.Deployment.Decisions.Shards)
+					len(node.Deployment.Classes), len(node.Deployment.Tenants), node.Deployment.BalancerSettings.Shards)
 			}
 			return err
 		},
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return node, err
 	}
-	_, err = balance.New(node.Deployment.Decisions)
+	_, err = balance.New(node.Deployment.BalancerSettings)
 	return node, err
 }
 
--- a/internal/app/platform.go
+++ b/internal/app/platform.go
@@ -107,8 +107,8 @@
 
 // newPlatformServer builds the server. It opens the gossip socket, which the caller closes, and nothing else.
 func newPlatformServer(node config.Node) (*platformServer, error) {
-	decisions := node.Deployment.Decisions
-	balancer, err := balance.New(decisions)
+	balancerSettings := node.Deployment.BalancerSettings
+	balancer, err := balance.New(balancerSettings)
 	if err != nil {
 		return nil, err
 	}
@@ -118,15 +118,15 @@
 		stop:             make(chan struct{}),
 		loopDone:         make(chan struct{}),
 		generations:      settings.NewGenerations(node.Deployment),
-		balancerSettings: decisions,
+		balancerSettings: balancerSettings,
 	}
 	s.pool = leaf.NewPool(leaf.Limits{
 		MaxStreams:        node.Deployment.StreamsPerConn,
 		IdleTimeout:       node.Deployment.ConnIdle,
 		ConnectTimeout:    node.Deployment.ConnectTimeout,
 		MaxConnections:    node.Sockets / 3,
-		UnresponsiveAfter: shortestObjective(decisions.Classes) / 2,
-		ConnsPerServer:    leaf.ConnsPerServer(decisions.Instances),
+		UnresponsiveAfter: shortestObjective(balancerSettings.Classes) / 2,
+		ConnsPerServer:    leaf.ConnsPerServer(balancerSettings.Instances),
 	}, s.mailbox, leaf.DialTCP)
 	s.core = aggregator.NewCore(balancer, s.pool, platformLimits(node.Deployment), s.clock.Now())
 	s.pool.SetDirectory(s.core)
@@ -153,11 +153,11 @@
 	limits := aggregator.Limits{
 		ClassNames:     deployment.Classes,
 		MaxOpen:        deployment.MaxOpen,
-		MaxCallParts:   deployment.Decisions.MaxCallParts,
+		MaxCallParts:   deployment.BalancerSettings.MaxCallParts,
 		RetryAfter:     deployment.MaxRetryAfter,
-		DeadlineMargin: 4 * deployment.Decisions.Tick,
+		DeadlineMargin: 4 * deployment.BalancerSettings.Tick,
 	}
-	for _, class := range deployment.Decisions.Classes {
+	for _, class := range deployment.BalancerSettings.Classes {
 		limits.FollowUpParts = append(limits.FollowUpParts, class.FollowUpParts)
 		window := time.Duration(0)
 		if class.Idempotency == balance.KeyedIdempotent {
@@ -171,8 +171,8 @@
 // openGossip connects the core to the other instances, if the configuration lists them. A failure is only logged, as an
 // instance can serve without gossip.
 func (s *platformServer) openGossip() {
-	decisions := s.node.Deployment.Decisions
-	if !decisions.PeerMessages || s.node.PeerListen == "" || s.node.PeerBroadcast == "" {
+	balancerSettings := s.node.Deployment.BalancerSettings
+	if !balancerSettings.PeerMessages || s.node.PeerListen == "" || s.node.PeerBroadcast == "" {
 		return
 	}
 	transport, err := gossip.Open(gossip.Options{
@@ -187,9 +187,10 @@
 		return
 	}
 	s.gossip, s.core.Gossip = transport, transport
-	if decisions.GossipEnabled() {
-		objective := shortestObjective(decisions.Classes)
-		s.core.Outliers = outlier.New(outlier.PlatformConfig(objective, decisions.Zone, decisions.Instances))
+	if balancerSettings.GossipEnabled() {
+		objective := shortestObjective(balancerSettings.Classes)
+		s.core.Outliers = outlier.New(
+			outlier.PlatformConfig(objective, balancerSettings.Zone, balancerSettings.Instances))
 	}
 }
 
@@ -211,8 +212,8 @@
 	}
 	// Without ListOnRequest discovery is an agent on this machine that answers at once, so its load need not be limited
 	// by the fleet size.
-	if deployment.Decisions.ListOnRequest {
-		s.watcher.FleetSize = deployment.Decisions.Instances
+	if deployment.BalancerSettings.ListOnRequest {
+		s.watcher.FleetSize = deployment.BalancerSettings.Instances
 	}
 	if len(s.node.InitialEndpoints) == 0 {
 		return nil
@@ -233,8 +234,8 @@
 	s.frontend = platform.New(platform.Options{
 		Classes:    deployment.Classes,
 		Tenants:    deployment.Tenants,
-		Shards:     deployment.Decisions.Shards,
-		MaxTimeout: maxTimeout(deployment.Decisions.Classes),
+		Shards:     deployment.BalancerSettings.Shards,
+		MaxTimeout: maxTimeout(deployment.BalancerSettings.Classes),
 		Timeouts: httpserve.Timeouts{
 			FirstRequest:   requestReadTimeout,
 			Idle:           keepAliveTimeout,
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -65,14 +65,14 @@
 	now := s.clock.Now()
 	change := s.generations.Adopt(now, next, s.core.ClassInUse)
 	merged := change.Deployment
-	if err := s.core.Reconfigure(merged.Decisions, platformLimits(merged), change.Fresh); err != nil {
+	if err := s.core.Reconfigure(merged.BalancerSettings, platformLimits(merged), change.ReplacedClasses); err != nil {
 		return err
 	}
-	s.balancerSettings = merged.Decisions
+	s.balancerSettings = merged.BalancerSettings
 	s.frontend.SetVocabulary(platform.Vocabulary{
 		Classes:    change.Classes,
 		Tenants:    change.Tenants,
-		MaxTimeout: maxTimeout(next.Decisions.Classes),
+		MaxTimeout: maxTimeout(next.BalancerSettings.Classes),
 	}, now)
 	s.operators.classes = slices.Clone(next.Classes)
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -219,18 +219,18 @@
 		t.Fatal(err)
 	}
 	d := n.Deployment
-	if n.Seed != 0x8c1f30d27a5be964 || d.Decisions.Seed != n.Seed || n.MemoryMB != 100 {
+	if n.Seed != 0x8c1f30d27a5be964 || d.BalancerSettings.Seed != n.Seed || n.MemoryMB != 100 {
 		t.Errorf("%+v", n)
 	}
 	if d.Classes[0] != "a" || d.Tenants[0] != "tv" {
 		t.Errorf("classes %v, tenants %v", d.Classes, d.Tenants)
 	}
-	if d.ConnIdle != 15*time.Second || d.Decisions.MaxCallParts != 3 {
+	if d.ConnIdle != 15*time.Second || d.BalancerSettings.MaxCallParts != 3 {
 		t.Errorf("%+v", d)
 	}
 	// Clients receive Retry-After even if retry_after is false, which only says that the simulator does not forward it.
-	if d.Decisions.MaxRetryAfter != time.Second {
-		t.Errorf("Retry-After of at most %v", d.Decisions.MaxRetryAfter)
+	if d.BalancerSettings.MaxRetryAfter != time.Second {
+		t.Errorf("Retry-After of at most %v", d.BalancerSettings.MaxRetryAfter)
 	}
 	const unknownEffect = `{"settings":{"classes":[{"effect":"odd"}],
 		"extra":{"class_floor":[1],"follow_up":[0],"incomplete_worth":[1],"need_by_class":[1]}}}`
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -91,7 +91,7 @@
 	if key := missingKey(n.fileKeys, loaded.fileKeys, ""); key != "" {
 		return n, false, fmt.Errorf("%w: %s", errKeyMissing, key)
 	}
-	if _, err := balance.New(loaded.Deployment.Decisions); err != nil {
+	if _, err := balance.New(loaded.Deployment.BalancerSettings); err != nil {
 		return n, false, fmt.Errorf("settings: %w", err)
 	}
 	next = n
@@ -206,10 +206,10 @@
 	if node.Sockets <= 0 {
 		node.Sockets = defaultSockets
 	}
-	node.Deployment.Decisions.Seed = node.Seed
+	node.Deployment.BalancerSettings.Seed = node.Seed
 	// Clients of the real platform honor Retry-After even if the simulator does not forward it: a rejected query is
 	// answered at once with the time to retry after, while under the simulator the query would be held.
-	node.Deployment.Decisions.MaxRetryAfter = node.Deployment.MaxRetryAfter
+	node.Deployment.BalancerSettings.MaxRetryAfter = node.Deployment.MaxRetryAfter
 	return node, nil
 }
 
--- a/internal/settings/generations.go
+++ b/internal/settings/generations.go
@@ -31,7 +31,7 @@
 func NewGenerations(first Deployment) *Generations {
 	g := &Generations{tenants: slices.Clone(first.Tenants), current: first}
 	for i, name := range first.Classes {
-		g.classes = append(g.classes, classSlot{name: name, class: first.Decisions.Classes[i]})
+		g.classes = append(g.classes, classSlot{name: name, class: first.BalancerSettings.Classes[i]})
 	}
 	return g
 }
@@ -39,10 +39,10 @@
 // Change is the result of adopting new settings.
 type Change struct {
 	// Deployment contains the classes and tenants of all indices, including dropped ones.
-	Deployment Deployment
-	Fresh      []int          // indices that now refer to another class, or were unused before
-	Classes    map[string]int // indices of the classes in the new settings
-	Tenants    map[string]int // indices of the tenants in the new settings
+	Deployment      Deployment
+	ReplacedClasses []int          // indices that now refer to another class, or were unused before
+	Classes         map[string]int // indices of the classes in the new settings
+	Tenants         map[string]int // indices of the tenants in the new settings
 }
 
 // Adopt replaces the classes, the tenants and the limits on queries, attempts and Retry-After by those of new settings.
@@ -50,11 +50,11 @@
 func (g *Generations) Adopt(now time.Time, next Deployment, inUse func(class int) bool) Change {
 	change := Change{Classes: map[string]int{}, Tenants: map[string]int{}}
 	for i, name := range next.Classes {
-		class := next.Decisions.Classes[i]
+		class := next.BalancerSettings.Classes[i]
 		index := g.indexOf(name, class)
 		if index < 0 {
 			index = g.freeIndex(now, inUse)
-			change.Fresh = append(change.Fresh, index)
+			change.ReplacedClasses = append(change.ReplacedClasses, index)
 		}
 		g.classes[index] = classSlot{name: name, class: class}
 		change.Classes[name] = index
@@ -108,19 +108,19 @@
 	merged := g.current
 	merged.MaxOpen = next.MaxOpen
 	merged.MaxRetryAfter = next.MaxRetryAfter
-	merged.Decisions.MaxAttempts = next.Decisions.MaxAttempts
-	merged.Decisions.OverQuotaFactor = next.Decisions.OverQuotaFactor
-	merged.Decisions.MaxRetryAfter = next.Decisions.MaxRetryAfter
+	merged.BalancerSettings.MaxAttempts = next.BalancerSettings.MaxAttempts
+	merged.BalancerSettings.OverQuotaFactor = next.BalancerSettings.OverQuotaFactor
+	merged.BalancerSettings.MaxRetryAfter = next.BalancerSettings.MaxRetryAfter
 	merged.Classes = nil
-	merged.Decisions.Classes = nil
+	merged.BalancerSettings.Classes = nil
 	for _, slot := range g.classes {
 		merged.Classes = append(merged.Classes, slot.name)
-		merged.Decisions.Classes = append(merged.Decisions.Classes, slot.class)
+		merged.BalancerSettings.Classes = append(merged.BalancerSettings.Classes, slot.class)
 	}
 	merged.Tenants = slices.Clone(g.tenants)
-	merged.Decisions.Tenants = make([]balance.Tenant, len(g.tenants))
+	merged.BalancerSettings.Tenants = make([]balance.Tenant, len(g.tenants))
 	for i, name := range next.Tenants {
-		merged.Decisions.Tenants[tenants[name]] = next.Decisions.Tenants[i]
+		merged.BalancerSettings.Tenants[tenants[name]] = next.BalancerSettings.Tenants[i]
 	}
 	return merged
 }
@@ -155,27 +155,27 @@
 }
 
 func restartOnlyOf(d Deployment) restartOnly {
-	decisions := &d.Decisions
+	balancer := &d.BalancerSettings
 	return restartOnly{
-		rules:              decisions.Rules,
-		tick:               decisions.Tick,
+		rules:              balancer.Rules,
+		tick:               balancer.Tick,
 		connIdle:           d.ConnIdle,
 		connectTimeout:     d.ConnectTimeout,
-		instances:          decisions.Instances,
+		instances:          balancer.Instances,
 		instanceIndex:      d.InstanceIndex,
-		zone:               decisions.Zone,
-		cells:              decisions.Cells,
-		reach:              decisions.Reach,
-		shards:             decisions.Shards,
-		maxCallParts:       decisions.MaxCallParts,
+		zone:               balancer.Zone,
+		cells:              balancer.Cells,
+		reach:              balancer.Reach,
+		shards:             balancer.Shards,
+		maxCallParts:       balancer.MaxCallParts,
 		streamsPerConn:     d.StreamsPerConn,
-		canHedge:           decisions.CanHedge,
-		canCancel:          decisions.CanCancel,
-		canProbe:           decisions.CanProbe,
-		peerMessages:       decisions.PeerMessages,
-		clientsMarkRetries: decisions.ClientsMarkRetries,
-		loadReportsOnProbe: decisions.LoadReportsOnProbe,
-		listOnRequest:      decisions.ListOnRequest,
-		weightByWork:       decisions.WeightByWork,
+		canHedge:           balancer.CanHedge,
+		canCancel:          balancer.CanCancel,
+		canProbe:           balancer.CanProbe,
+		peerMessages:       balancer.PeerMessages,
+		clientsMarkRetries: balancer.ClientsMarkRetries,
+		loadReportsOnProbe: balancer.LoadReportsOnProbe,
+		listOnRequest:      balancer.ListOnRequest,
+		weightByWork:       balancer.WeightByWork,
 	}
 }
--- a/internal/settings/generations_test.go
+++ b/internal/settings/generations_test.go
@@ -21,11 +21,11 @@
 // deployment returns a deployment with the given classes: "a1" is class a with an objective of 1 s.
 func deployment(classes ...string) Deployment {
 	d := Deployment{Tenants: []string{"tv"}}
-	d.Decisions.Tenants = []balance.Tenant{{Quota: 7}}
-	d.Decisions.MaxAttempts = 4
+	d.BalancerSettings.Tenants = []balance.Tenant{{Quota: 7}}
+	d.BalancerSettings.MaxAttempts = 4
 	for _, text := range classes {
 		d.Classes = append(d.Classes, text[:1])
-		d.Decisions.Classes = append(d.Decisions.Classes, class(int(text[1]-'0')))
+		d.BalancerSettings.Classes = append(d.BalancerSettings.Classes, class(int(text[1]-'0')))
 	}
 	return d
 }
@@ -35,11 +35,11 @@
 func TestGenerations_Adopt(t *testing.T) {
 	g := NewGenerations(deployment("a1", "b1", "c1"))
 	for _, step := range []struct {
-		name    string
-		next    Deployment
-		after   time.Duration
-		classes map[string]int
-		fresh   []int
+		name     string
+		next     Deployment
+		after    time.Duration
+		classes  map[string]int
+		replaced []int
 	}{
 		{"added, in another order", deployment("d1", "c1", "a1", "b1"), 0, map[string]int{"a": 0, "b": 1, "c": 2, "d": 3}, []int{3}},
 		{"redefined", deployment("a1", "b2", "c1"), 0, map[string]int{"a": 0, "b": 4, "c": 2}, []int{4}},
@@ -48,8 +48,9 @@
 		{"dropped index is reused", deployment("a1", "e1"), 2 * indexReuseDelay, map[string]int{"a": 0, "e": 1}, []int{1}},
 	} {
 		change := g.Adopt(startTime.Add(step.after), step.next, unused)
-		if !reflect.DeepEqual(change.Classes, step.classes) || !slices.Equal(change.Fresh, step.fresh) {
-			t.Errorf("%s: %v, fresh %v; want %v, fresh %v", step.name, change.Classes, change.Fresh, step.classes, step.fresh)
+		if !reflect.DeepEqual(change.Classes, step.classes) || !slices.Equal(change.ReplacedClasses, step.replaced) {
+			t.Errorf("%s: %v, replaced %v; want %v, replaced %v",
+				step.name, change.Classes, change.ReplacedClasses, step.classes, step.replaced)
 		}
 		for name, index := range change.Classes {
 			if change.Deployment.Classes[index] != name {
@@ -63,18 +64,19 @@
 func TestGenerations_Adopt_TenantsAndLimits(t *testing.T) {
 	g := NewGenerations(deployment("a1"))
 	next := deployment("a1")
-	next.Decisions.MaxAttempts = 2
+	next.BalancerSettings.MaxAttempts = 2
 	next.MaxOpen = 9
-	next.Decisions.Shards = 99
+	next.BalancerSettings.Shards = 99
 	next.Tenants = []string{"radio", "tv"}
-	next.Decisions.Tenants = []balance.Tenant{{Quota: 1}, {Quota: 2}}
+	next.BalancerSettings.Tenants = []balance.Tenant{{Quota: 1}, {Quota: 2}}
 	change := g.Adopt(startTime, next, unused)
 	merged := change.Deployment
 	wantTenants := []balance.Tenant{{Quota: 2}, {Quota: 1}}
-	if change.Tenants["tv"] != 0 || change.Tenants["radio"] != 1 || !slices.Equal(merged.Decisions.Tenants, wantTenants) {
-		t.Errorf("%v, %v", change.Tenants, merged.Decisions.Tenants)
+	if change.Tenants["tv"] != 0 || change.Tenants["radio"] != 1 ||
+		!slices.Equal(merged.BalancerSettings.Tenants, wantTenants) {
+		t.Errorf("%v, %v", change.Tenants, merged.BalancerSettings.Tenants)
 	}
-	if merged.Decisions.MaxAttempts != 2 || merged.MaxOpen != 9 || merged.Decisions.Shards != 0 {
+	if merged.BalancerSettings.MaxAttempts != 2 || merged.MaxOpen != 9 || merged.BalancerSettings.Shards != 0 {
 		t.Errorf("%+v", merged)
 	}
 	if next.SameButForReload(deployment("a1")) || !deployment("b1", "c2").SameButForReload(deployment("a1")) {
@@ -108,18 +110,19 @@
 				return slices.ContainsFunc(open, func(q openQuery) bool { return q.index == index })
 			})
 			for i, name := range next.Classes {
-				if got := current.Deployment.Decisions.Classes[current.Classes[name]]; got != next.Decisions.Classes[i] {
+				if got := current.Deployment.BalancerSettings.Classes[current.Classes[name]]; got !=
+					next.BalancerSettings.Classes[i] {
 					t.Fatalf("seed %d: %s is %v", seed, name, got)
 				}
 			}
 			for _, q := range open {
-				if current.Deployment.Decisions.Classes[q.index] != q.class {
+				if current.Deployment.BalancerSettings.Classes[q.index] != q.class {
 					t.Fatalf("seed %d: an open query's class has changed", seed)
 				}
 			}
 			open = slices.DeleteFunc(open, func(openQuery) bool { return random.IntN(3) == 0 })
 			for _, index := range current.Classes {
-				open = append(open, openQuery{index, current.Deployment.Decisions.Classes[index]})
+				open = append(open, openQuery{index, current.Deployment.BalancerSettings.Classes[index]})
 			}
 		}
 		if classes := len(current.Deployment.Classes); classes > 40 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,16 +15,16 @@
 // Deployment contains all values of the settings object: those for the balancer, and those that only an aggregator on
 // sockets needs.
 type Deployment struct {
-	Decisions      balance.Settings // all except the seed
-	Classes        []string         // names, in the order of Decisions.Classes
-	Tenants        []string         // names, in the order of Decisions.Tenants
-	Zones          []string         // names, by the zone's number
-	ConnIdle       time.Duration    // idle time after which servers close a connection
-	ConnectTimeout time.Duration
-	InstanceIndex  int           // this aggregator's number among its peers, from 0
-	MaxOpen        int           // maximum number of open queries and parts; 0: unlimited
-	StreamsPerConn int           // concurrent calls on one connection, at least 1
-	MaxRetryAfter  time.Duration // longest Retry-After that clients honor, whether or not the simulator forwards it
+	BalancerSettings balance.Settings // all except the seed
+	Classes          []string         // names, in the order of BalancerSettings.Classes
+	Tenants          []string         // names, in the order of BalancerSettings.Tenants
+	Zones            []string         // names, by the zone's number
+	ConnIdle         time.Duration    // idle time after which servers close a connection
+	ConnectTimeout   time.Duration
+	InstanceIndex    int           // this aggregator's number among its peers, from 0
+	MaxOpen          int           // maximum number of open queries and parts; 0: unlimited
+	StreamsPerConn   int           // concurrent calls on one connection, at least 1
+	MaxRetryAfter    time.Duration // longest Retry-After that clients honor, whether or not the simulator forwards it
 }
 
 // Parse parses the settings object. Unknown keys are ignored. If it returns an error, the Deployment is incomplete.
@@ -34,26 +34,26 @@
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
 	d := Deployment{
-		Decisions:      doc.balancerSettings(),
-		Zones:          doc.Zones,
-		ConnIdle:       doc.Limits.ConnIdle.duration(),
-		ConnectTimeout: doc.Limits.ConnectTimeout.duration(),
-		InstanceIndex:  doc.InstanceIndex,
-		MaxOpen:        doc.Limits.MaxOpen,
-		StreamsPerConn: max(1, doc.Limits.StreamsPerConn),
-		MaxRetryAfter:  doc.Limits.MaxRetryAfter.duration(),
+		BalancerSettings: doc.balancerSettings(),
+		Zones:            doc.Zones,
+		ConnIdle:         doc.Limits.ConnIdle.duration(),
+		ConnectTimeout:   doc.Limits.ConnectTimeout.duration(),
+		InstanceIndex:    doc.InstanceIndex,
+		MaxOpen:          doc.Limits.MaxOpen,
+		StreamsPerConn:   max(1, doc.Limits.StreamsPerConn),
+		MaxRetryAfter:    doc.Limits.MaxRetryAfter.duration(),
 	}
 	classes, err := doc.classes()
 	if err != nil {
 		return d, fmt.Errorf("settings: %w", err)
 	}
-	d.Decisions.Classes = classes
+	d.BalancerSettings.Classes = classes
 	for _, class := range doc.Classes {
 		d.Classes = append(d.Classes, class.Name)
 	}
 	for _, tenant := range doc.Tenants {
 		d.Tenants = append(d.Tenants, tenant.Name)
-		d.Decisions.Tenants = append(d.Decisions.Tenants, balance.Tenant{Quota: tenant.Quota})
+		d.BalancerSettings.Tenants = append(d.BalancerSettings.Tenants, balance.Tenant{Quota: tenant.Quota})
 	}
 	return d, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Decisions = balance.Settings{} // tested in package simadapter
+	d.BalancerSettings = balance.Settings{} // tested in package simadapter
 	want := Deployment{
 		Classes:        []string{"search"},
 		Tenants:        []string{"tenant"},
@@ -41,7 +41,7 @@
 	for forwarded, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
 		d, err := Parse([]byte(`{"classes":[{"effect":"safe"}],` + extra +
 			`,"limits":{"max_retry_after":1000000,"retry_after":` + forwarded + `}}`))
-		balancer := d.Decisions.MaxRetryAfter
+		balancer := d.BalancerSettings.MaxRetryAfter
 		if err != nil || balancer != want || d.MaxRetryAfter != time.Second {
 			t.Errorf("forwarded %s: balancer %v, sockets %v, error %v", forwarded, balancer, d.MaxRetryAfter, err)
 		}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -51,7 +51,7 @@
 
 func decodeStart(_ *Reader, m *message) (Input, error) {
 	deployment, err := settings.Parse([]byte(m.text("env")))
-	start := Start{Settings: deployment.Decisions}
+	start := Start{Settings: deployment.BalancerSettings}
 	start.Settings.Seed = m.unsigned("seed")
 	if m.err != nil {
 		return nil, nil
--- a/internal/simadapter/reader_test.go
+++ b/internal/simadapter/reader_test.go
@@ -64,7 +64,9 @@
 			}},
 		}},
 		BalancerEvent{balance.EndpointList{Kind: balance.ListFailed}},
-		BalancerEvent{balance.Query{ID: 7, Group: 1, Tenant: 1, Key: "k", RemainingTime: 900 * us, IsRetry: true, Parts: 2}},
+		BalancerEvent{balance.Query{
+			ID: 7, Group: 1, Tenant: 1, Key: "k", RemainingTime: 900 * us, IsRetry: true, Parts: 2,
+		}},
 		BalancerEvent{balance.Part{ID: 8, Group: 1, Shard: 5, Weight: 0.5, WorkHint: 20 * us}},
 		BalancerEvent{balance.AttemptEnded{
 			Part:    8,
