--- a/internal/backend/healthcheck/check.go
+++ b/internal/backend/healthcheck/check.go
@@ -131,7 +131,7 @@
 
 // evaluateHTTP evaluates an HTTP answer by the profile's expectation.
 func (c Check) evaluateHTTP(response *http1.Message) Result {
-	evaluation := c.Profile.Expectation.Judge(response.Status, response.Header.Get, response.Body)
+	evaluation := c.Profile.Expectation.Evaluate(response.Status, response.Header.Get, response.Body)
 	result := Result{CheckResult: health.CheckResult{
 		Failed:    !evaluation.Healthy,
 		Immediate: evaluation.Immediate,
--- a/internal/backend/healthcheck/check_test.go
+++ b/internal/backend/healthcheck/check_test.go
@@ -254,7 +254,7 @@
 }
 
 // A check closes the connection once it has evaluated the answer, even if the server continues to send.
-func TestCheck_ReadsNoMoreThanItJudges(t *testing.T) {
+func TestCheck_ReadsNoMoreThanItEvaluates(t *testing.T) {
 	const maxBytes = 256 << 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/backend/sru/client.go
+++ b/internal/backend/sru/client.go
@@ -20,11 +20,11 @@
 
 // SRU diagnostics that do not concern the query itself: they describe the server, or qualify its result.
 const (
-	diagSystemError      = sru.Diag + "1"
-	diagUnavailable      = sru.Diag + "2"
-	diagAuthentication   = sru.Diag + "3"
-	diagPartialResult    = sru.Diag + "59" // the result is valid, but not complete
-	diagDatabaseNotFound = sru.Diag + "235"
+	diagSystemError      = sru.DiagnosticPrefix + "1"
+	diagUnavailable      = sru.DiagnosticPrefix + "2"
+	diagAuthentication   = sru.DiagnosticPrefix + "3"
+	diagPartialResult    = sru.DiagnosticPrefix + "59" // the result is valid, but not complete
+	diagDatabaseNotFound = sru.DiagnosticPrefix + "235"
 )
 
 // Client is the serialconn.Codec of one SRU server.
--- a/internal/frontend/sru/failure.go
+++ b/internal/frontend/sru/failure.go
@@ -51,7 +51,7 @@
 	case gateway.ServerDiagnostic:
 		diagnostic := *outcome.Diagnostic
 		if diagnostic.SRU == "" { // from a Z39.50 server
-			diagnostic.SRU = sru.Diag + strconv.Itoa(sru.GeneralSystemError)
+			diagnostic.SRU = sru.DiagnosticPrefix + strconv.Itoa(sru.GeneralSystemError)
 			diagnostic.Details = fmt.Sprintf("bib-1 %d %s", diagnostic.Bib1, diagnostic.Details)
 		}
 		return diagnostic
--- a/internal/protocol/httpcheck/httpcheck.go
+++ b/internal/protocol/httpcheck/httpcheck.go
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("%d-%d", r.From, r.To)
 }
 
-// In reports whether a status is in one of the ranges.
-func In(ranges []Range, status int) bool {
+// containsStatus reports whether a status is in one of the ranges.
+func containsStatus(ranges []Range, status int) bool {
 	for _, r := range ranges {
 		if status >= r.From && status <= r.To {
 			return true
@@ -87,18 +87,18 @@
 	Reason    string // why the server is unhealthy or draining
 }
 
-// Judge evaluates a response. header returns the value of a field, empty if it is absent.
-func (e *Expect) Judge(status int, header func(name string) string, body []byte) Result {
+// Evaluate checks a response against the expectation. header returns the value of a field, empty if it is absent.
+func (e *Expect) Evaluate(status int, header func(name string) string, body []byte) Result {
 	result := Result{Degraded: isSet(header(DegradedHeader))}
 	switch {
-	case In(e.Drain, status):
+	case containsStatus(e.Drain, status):
 		result.Healthy = true
 		result.Drain = true
 		result.Reason = fmt.Sprintf("status %d", status)
 	case isSet(header(ImmediateHeader)):
 		result.Immediate = true
 		result.Reason = "immediate failure told"
-	case !In(e.Status, status):
+	case !containsStatus(e.Status, status):
 		result.Reason = fmt.Sprintf("status %d", status)
 	case e.Body != "" && !strings.Contains(string(body), e.Body):
 		result.Reason = "the body lacks " + strconv.Quote(e.Body)
--- a/internal/protocol/httpcheck/httpcheck_test.go
+++ b/internal/protocol/httpcheck/httpcheck_test.go
@@ -15,7 +15,7 @@
 	return ranges
 }
 
-func TestExpect_Judge(t *testing.T) {
+func TestExpect_Evaluate(t *testing.T) {
 	expect := &Expect{
 		Status: parseRanges(t, "200-299, 301,404"),
 		Drain:  parseRanges(t, "404"),
@@ -70,7 +70,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := expect.Judge(test.status, test.header.Get, []byte(test.body)); got != test.want {
+			if got := expect.Evaluate(test.status, test.header.Get, []byte(test.body)); got != test.want {
 				t.Errorf("%d %v %q: %+v, want %+v", test.status, test.header, test.body, got, test.want)
 			}
 		})
@@ -89,7 +89,8 @@
 		}
 		for _, r := range list {
 			again, err := ParseRanges(r.String())
-			if err != nil || len(again) != 1 || again[0] != r || r.From < 100 || r.To > 599 || !In(list, r.From) {
+			if err != nil || len(again) != 1 || again[0] != r || r.From < 100 || r.To > 599 ||
+				!containsStatus(list, r.From) {
 				t.Fatalf("%q: %v formatted and parsed: %v, %v", text, r, again, err)
 			}
 		}
--- a/internal/protocol/sru/sru.go
+++ b/internal/protocol/sru/sru.go
@@ -20,7 +20,7 @@
 	namespaceDiagnostic = "http://www.loc.gov/zing/srw/diagnostic/"
 	namespaceUpdate     = "http://www.loc.gov/zing/srw/update/"
 	namespaceSOAP       = "http://schemas.xmlsoap.org/soap/envelope/"
-	Diag                = "info:srw/diagnostic/1/" // prefix of diagnostic identifiers
+	DiagnosticPrefix    = "info:srw/diagnostic/1/" // prefix of diagnostic identifiers
 	actionPrefix        = "info:srw/action/1/"     // prefix of update actions
 
 	// DefaultSchema is the schema of records without one.
@@ -98,12 +98,12 @@
 
 // Error returns the diagnostic's identifier, message and details.
 func (e *DiagnosticError) Error() string {
-	return fmt.Sprintf("%s%d %s: %s", Diag, e.Code, messages[e.Code], e.Details)
+	return fmt.Sprintf("%s%d %s: %s", DiagnosticPrefix, e.Code, messages[e.Code], e.Details)
 }
 
 // Diagnostic returns the diagnostic to send.
 func (e *DiagnosticError) Diagnostic() query.Diagnostic {
-	return query.Diagnostic{SRU: Diag + strconv.Itoa(e.Code), Details: e.Details}
+	return query.Diagnostic{SRU: DiagnosticPrefix + strconv.Itoa(e.Code), Details: e.Details}
 }
 
 // AsDiagnosticError returns the *DiagnosticError that err wraps, or one converted from the *query.Error that err wraps,
@@ -128,7 +128,7 @@
 	var b strings.Builder
 	for _, d := range diagnostics {
 		code := 0
-		if number, ok := strings.CutPrefix(d.SRU, Diag); ok {
+		if number, ok := strings.CutPrefix(d.SRU, DiagnosticPrefix); ok {
 			code, _ = strconv.Atoi(number) // an unknown code has no message
 		}
 		fmt.Fprintf(&b, `<diagnostic xmlns="%s"><uri>%s</uri><details>%s</details><message>%s</message></diagnostic>`,
