--- a/internal/aggregator/answer.go
+++ b/internal/aggregator/answer.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if c.mayReroute(q) {
-		decision := q.placement.ViewUnusable(c.Resharding.Views)
+		decision := q.placement.DecideUnusableView(c.Resharding.Views)
 		if decision.QueryContinues() {
 			c.applyDecision(q, decision)
 			return
--- a/internal/aggregator/resharding.go
+++ b/internal/aggregator/resharding.go
@@ -120,7 +120,7 @@
 
 // noNewerMap records that the source has nothing newer, and requests a map again soon if the source may be behind.
 func (r *Resharding) noNewerMap(now time.Time) {
-	if r.Views.SourceUnchanged(now) {
+	if r.Views.HandleSourceUnchanged(now) {
 		r.RequestMapSoon()
 	}
 }
@@ -185,7 +185,9 @@
 }
 
 // reroute restarts, suspends or closes a query that cannot continue on its view.
-func (c *Core) reroute(q *query) { c.applyDecision(q, q.placement.ViewUnusable(c.Resharding.Views)) }
+func (c *Core) reroute(q *query) {
+	c.applyDecision(q, q.placement.DecideUnusableView(c.Resharding.Views))
+}
 
 // applyDecision restarts a query, lets it wait for a newer map, or closes it.
 func (c *Core) applyDecision(query *query, decision shardmap.Decision) {
--- a/internal/control/shardmap/interleavings_test.go
+++ b/internal/control/shardmap/interleavings_test.go
@@ -251,7 +251,7 @@
 	_, epoch := x.serves(s, server, p.shard)
 	p.server = noServer
 	decision := x.decide(s, kind, part, server, epoch)
-	if decision.DropServer {
+	if decision.ServerDropped {
 		p.candidates &^= 1 << server
 	}
 	if !decision.Restart {
--- a/internal/control/shardmap/placement.go
+++ b/internal/control/shardmap/placement.go
@@ -30,7 +30,7 @@
 // Decision is how a part or its query proceeds after a rejection. With the zero value the query cannot proceed, unless
 // the part has servers left.
 type Decision struct {
-	DropServer     bool // the server was removed from the servers of the part
+	ServerDropped  bool // the server was removed from the servers of the part
 	RequestMap     bool // a newer map should be requested from the source
 	FalseRejection bool // the rejection contradicts a map that the server must have received
 	Restart        bool // the query restarts on the current view
@@ -58,12 +58,12 @@
 	}
 	if i := slices.Index(part.Servers, rejection.Server); i >= 0 {
 		part.Servers = slices.Delete(part.Servers, i, i+1)
-		decision.DropServer = true
+		decision.ServerDropped = true
 	}
 	if len(part.Servers) > 0 || part.Answered {
 		return decision // another server may be sent the part, or it was answered
 	}
-	next := q.ViewUnusable(views)
+	next := q.DecideUnusableView(views)
 	decision.Restart = next.Restart
 	decision.AwaitMap = next.AwaitMap
 	return decision
@@ -80,10 +80,10 @@
 	return shard != nil && shard.Active() && shard.ServedBy(rejection.Server)
 }
 
-// ViewUnusable decides how a query proceeds that has to leave its view, or has a part without servers left: it may
-// restart on the current view or wait for a newer one. A part that may have run must not run at another replica unless
-// the query is idempotent, and a second step cannot change its view.
-func (q *QueryPlacement) ViewUnusable(views *Views) Decision {
+// DecideUnusableView decides how a query proceeds that has to leave its view, or has a part without servers left: it
+// may restart on the current view or wait for a newer one. A part that may have run must not run at another replica
+// unless the query is idempotent, and a second step cannot change its view.
+func (q *QueryPlacement) DecideUnusableView(views *Views) Decision {
 	if q.SecondStep || q.Restarts >= MaxRestarts || !q.restartIsSafe() {
 		return Decision{}
 	}
--- a/internal/control/shardmap/placement_test.go
+++ b/internal/control/shardmap/placement_test.go
@@ -23,15 +23,15 @@
 	}
 	q := placement()
 	d := reject(q, "a", 2)
-	if d != (Decision{DropServer: true, RequestMap: true}) || !slices.Equal(q.Parts[0].Servers, []string{"b"}) {
+	if d != (Decision{ServerDropped: true, RequestMap: true}) || !slices.Equal(q.Parts[0].Servers, []string{"b"}) {
 		t.Errorf("another server is left, and a newer epoch was named: %+v %v", d, q.Parts)
 	}
 	d = reject(q, "b", 2)
-	if d != (Decision{DropServer: true, AwaitMap: true}) {
+	if d != (Decision{ServerDropped: true, AwaitMap: true}) {
 		t.Errorf("no server is left, and a newer map may be on its way: %+v", d)
 	}
-	vs.SourceUnchanged(origin)
-	if d := q.ViewUnusable(vs); d != (Decision{}) {
+	vs.HandleSourceUnchanged(origin)
+	if d := q.DecideUnusableView(vs); d != (Decision{}) {
 		t.Errorf("the source has no newer map: %+v", d)
 	}
 	q = placement()
--- a/internal/control/shardmap/rollout.go
+++ b/internal/control/shardmap/rollout.go
@@ -11,8 +11,8 @@
 	epoch      Epoch
 }
 
-// NodeStatus reports the state of the servers.
-type NodeStatus interface {
+// ServerStatus reports the state of the servers.
+type ServerStatus interface {
 	// HasCopied reports whether a joining server has copied all of a shard.
 	HasCopied(shard ID, server string) bool
 	// KnownEpoch returns the newest epoch that a server has received.
@@ -33,7 +33,7 @@
 
 // Next returns the next action, given the published map. An error means that the remaining steps cannot be carried out;
 // the published map stays valid.
-func (r *Rollout) Next(now time.Time, published *Map, status NodeStatus) (Action, error) {
+func (r *Rollout) Next(now time.Time, published *Map, status ServerStatus) (Action, error) {
 	if r.epoch != published.Epoch {
 		r.epoch = published.Epoch
 		r.epochSince = now
@@ -57,7 +57,7 @@
 }
 
 // waitingForServer returns why a step has to wait for a server, or an empty text if it does not.
-func (s *Step) waitingForServer(published *Map, status NodeStatus) string {
+func (s *Step) waitingForServer(published *Map, status ServerStatus) string {
 	for _, shard := range s.Put {
 		current := published.Shard(shard.ID)
 		if current == nil {
--- a/internal/control/shardmap/views.go
+++ b/internal/control/shardmap/views.go
@@ -162,10 +162,10 @@
 	}
 }
 
-// SourceUnchanged handles an answer of the source that it has no newer map. Newer epochs that servers named are then
-// treated as false reports, unless the first of them was named less than MaxSourceLag ago: then requestAgain is true,
-// and a newer map should be requested again soon.
-func (vs *Views) SourceUnchanged(now time.Time) (requestAgain bool) {
+// HandleSourceUnchanged handles an answer of the source that it has no newer map. Newer epochs that servers named are
+// then treated as false reports, unless the first of them was named less than MaxSourceLag ago: then requestAgain is
+// true, and a newer map should be requested again soon.
+func (vs *Views) HandleSourceUnchanged(now time.Time) (requestAgain bool) {
 	if vs.mapRequested && now.Sub(vs.requestedSince) < vs.options.MaxSourceLag {
 		return true
 	}
