--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -188,12 +188,12 @@
 	}
 }
 
-// Messages stay within the budget that accepted parts have earned, and within the maximum length.
+// Messages stay within the budget that accepted parts have accrued, and within the maximum length.
 func TestGossip_IsLimited(t *testing.T) {
 	h := newGossipHarness(t)
 	h.b.outbox.Budget.Bytes = 0
 	if messages := gossipAfterProbe(h, Canceled, 0); len(messages) != 0 {
-		t.Errorf("sent %v with nothing earned", messages)
+		t.Errorf("sent %v with nothing accrued", messages)
 	}
 	var observations []gossip.Observation
 	for i := range 200 {
--- a/balance/lookup.go
+++ b/balance/lookup.go
@@ -127,7 +127,7 @@
 	query.parts = append(query.parts, part)
 	b.parts[arrived.ID] = part
 	b.retryBudget.RecordRequest(b.now)
-	b.outbox.Budget.Earn(1)
+	b.outbox.Budget.Accrue(1)
 }
 
 // endQuery removes a query that is completed or whose client disconnected, and cancels its attempts in
--- a/balance/path_test.go
+++ b/balance/path_test.go
@@ -90,7 +90,7 @@
 		parts      int
 		unanswered bool
 	}{
-		{parts: suspicion.MaxTypicalOverdue, unanswered: true},
+		{parts: suspicion.MinStalledRequests, unanswered: true},
 		{parts: 3, unanswered: false},
 	} {
 		settings := testSettings()
--- a/balance/turn.go
+++ b/balance/turn.go
@@ -17,7 +17,7 @@
 	elapsed := now - b.now
 	b.now = now
 	b.actions = nil
-	b.fleet.EarnSlowStart(now, elapsed)
+	b.fleet.AccrueSlowStartCredit(now, elapsed)
 	for _, event := range events {
 		b.handle(event)
 	}
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -167,7 +167,7 @@
 		t.Errorf("%+v", s)
 	}
 	f.Demand.Answered = 1e6
-	f.EarnSlowStart(now, 10*ms)
+	f.AccrueSlowStartCredit(now, 10*ms)
 	if !f.SlowStartAllows(s, now) {
 		t.Error("no credit despite a high rate of answers")
 	}
--- a/internal/control/fleet/warmup.go
+++ b/internal/control/fleet/warmup.go
@@ -23,9 +23,10 @@
 	f.Options.SlowStart.RecordSend(&s.SlowStart, now)
 }
 
-// EarnSlowStart credits servers that are warming up with a share of this instance's own traffic in the elapsed time:
-// the share of a warm server, scaled by their capacity. If instances are few, the limits of the slow start suffice.
-func (f *Fleet) EarnSlowStart(now, elapsed time.Duration) {
+// AccrueSlowStartCredit credits servers that are warming up with a share of this instance's own traffic in the elapsed
+// time: the share of a warm server, scaled by their capacity. If instances are few, the limits of the slow start
+// suffice.
+func (f *Fleet) AccrueSlowStartCredit(now, elapsed time.Duration) {
 	f.Demand.Decay(elapsed, f.Options.Objective)
 	if f.Extrapolates() || !slices.ContainsFunc(f.Servers, func(s *Server) bool { return f.Capacity(s, now) < 1 }) {
 		return
@@ -36,7 +37,7 @@
 			warmServers += f.Capacity(s, now)
 		}
 	}
-	credit := f.Demand.Owed(elapsed, f.Options.Objective, warmServers)
+	credit := f.Demand.AccruedCredit(elapsed, f.Options.Objective, warmServers)
 	for _, s := range f.Servers {
 		f.Options.SlowStart.AddCredit(&s.SlowStart, now, credit)
 	}
--- a/internal/control/gossip/budget.go
+++ b/internal/control/gossip/budget.go
@@ -14,8 +14,8 @@
 // NewBudget returns the empty budget of one of so many aggregators.
 func NewBudget(aggregators int) Budget { return Budget{aggregators: aggregators} }
 
-// Earn adds the bytes for so many parts, up to a limit of one message of maximum length to each aggregator.
-func (b *Budget) Earn(parts int) {
+// Accrue adds the bytes for so many parts, up to a limit of one message of maximum length to each aggregator.
+func (b *Budget) Accrue(parts int) {
 	limit := MaxMessageBytes * float64(b.aggregators)
 	b.Bytes = min(b.Bytes+BudgetPerPart*MaxMessageBytes*float64(parts), limit)
 }
--- a/internal/control/gossip/load_test.go
+++ b/internal/control/gossip/load_test.go
@@ -46,7 +46,7 @@
 	if o.Flush(now, interval, 0) != nil {
 		t.Error("a message with an empty budget")
 	}
-	o.Budget.Earn(1)
+	o.Budget.Accrue(1)
 	if o.Flush(now, interval, 0) == nil {
 		t.Fatal("no message within the budget")
 	}
@@ -55,7 +55,7 @@
 	}
 	o.Add(1, 5)
 	o.Add(1, 6)
-	o.Budget.Earn(1)
+	o.Budget.Accrue(1)
 	if o.Flush(now+interval-1, interval, 0) != nil {
 		t.Error("a message before its interval has elapsed")
 	}
@@ -68,7 +68,7 @@
 func TestOutbox_Limits(t *testing.T) {
 	o := NewOutbox(3)
 	for i := range 1000 {
-		o.Budget.Earn(1)
+		o.Budget.Accrue(1)
 		o.Add(uint32(i), 1)
 	}
 	if o.Budget.Bytes != 3*MaxMessageBytes {
--- a/internal/control/outlier/outlier.go
+++ b/internal/control/outlier/outlier.go
@@ -168,7 +168,7 @@
 }
 
 // AccrueBudget adds to the budget of messages for the parts that this aggregator accepted since the last call.
-func (t *Table) AccrueBudget(parts int) { t.budget.Earn(parts) }
+func (t *Table) AccrueBudget(parts int) { t.budget.Accrue(parts) }
 
 // AttemptEnded records the outcome of an attempt that this aggregator sent at sent. Servers that are not in the
 // table are ignored.
--- a/internal/control/slowstart/demand.go
+++ b/internal/control/slowstart/demand.go
@@ -33,9 +33,9 @@
 	d.Peak = max(d.Answered, d.Peak*peakDecay)
 }
 
-// Owed returns the credit in parts that a warm server accrues in the elapsed time. warmServers is the combined capacity
-// of the servers in use, in warm servers.
-func (d *Demand) Owed(elapsed, objective time.Duration, warmServers float64) float64 {
+// AccruedCredit returns the credit in parts that a warm server accrues in the elapsed time. warmServers is the combined
+// capacity of the servers in use, in warm servers.
+func (d *Demand) AccruedCredit(elapsed, objective time.Duration, warmServers float64) float64 {
 	return creditFactor * d.Answered / estimate.Microseconds(DemandPeriods*objective) / max(1, warmServers) *
 		estimate.Microseconds(elapsed)
 }
--- a/internal/control/slowstart/demand_test.go
+++ b/internal/control/slowstart/demand_test.go
@@ -23,11 +23,11 @@
 
 func TestDemand_Owed(t *testing.T) {
 	d := Demand{Answered: 100} // in ten seconds
-	got := d.Owed(time.Second, time.Second, 5)
+	got := d.AccruedCredit(time.Second, time.Second, 5)
 	if want := creditFactor * 10 / 5; math.Abs(got-want) > 1e-9 {
 		t.Errorf("credit of %v parts, want %v", got, want)
 	}
-	if most := d.Owed(time.Second, time.Second, 0); most > creditFactor*10+1e-9 {
+	if most := d.AccruedCredit(time.Second, time.Second, 0); most > creditFactor*10+1e-9 {
 		t.Errorf("credit of %v parts where no server is warm", most)
 	}
 }
--- a/internal/control/suspicion/path.go
+++ b/internal/control/suspicion/path.go
@@ -12,9 +12,9 @@
 	minLatencyRise         = 0.01 // weight of times above MinLatency: low, as wide queries end with slow answers
 )
 
-// MaxTypicalOverdue is the number of requests in flight for longer than the typical latency that make a path
+// MinStalledRequests is the minimum number of requests in flight for longer than the typical latency that makes a path
 // unresponsive.
-const MaxTypicalOverdue = 8
+const MinStalledRequests = 8
 
 // SlowFactor is the multiple of the median of the servers' service times beyond which a target counts as slow.
 const SlowFactor = 2.5
@@ -56,6 +56,6 @@
 // the distance.
 func (p *Path) Assess(now time.Duration, latency *estimate.Latency, medianServiceTime float64) {
 	p.Unresponsive = p.Stalled(now, latency.Overdue()) >= MaxPenalty ||
-		p.Stalled(now, latency.Typical()) >= MaxTypicalOverdue
+		p.Stalled(now, latency.Typical()) >= MinStalledRequests
 	p.Slow = medianServiceTime > 0 && p.MinLatency > SlowFactor*medianServiceTime
 }
--- a/internal/control/suspicion/suspicion_test.go
+++ b/internal/control/suspicion/suspicion_test.go
@@ -122,7 +122,7 @@
 	if p.Slow {
 		t.Error("one and a half times the median service time is slow")
 	}
-	for range MaxTypicalOverdue {
+	for range MinStalledRequests {
 		p.Sent(time.Second)
 	}
 	p.Assess(time.Second+105*ms, &latency, 0)
