--- a/internal/aggregator/endpoints.go
+++ b/internal/aggregator/endpoints.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// InService returns the number of servers that accept new work.
-func (c *Core) InService() int {
+// AvailableServers returns the number of servers that accept new work.
+func (c *Core) AvailableServers() int {
 	available := 0
 	for id := range c.servers {
 		if c.Available(id) {
