--- a/cmd/rooktrestle/partners_standins_test.go
+++ b/cmd/rooktrestle/partners_standins_test.go
@@ -12,7 +12,7 @@
 // newArchive returns an archive whose replicas report started corrections and clients that disconnect.
 func newArchive(t *testing.T) *replica.Archive {
 	a := replica.NewArchive(4)
-	a.CorrectionBegun, a.ClientLeft = make(chan string, 8), make(chan string, 8)
+	a.CorrectionBegun, a.ClientDisconnected = make(chan string, 8), make(chan string, 8)
 	t.Cleanup(a.Close)
 	return a
 }
--- a/cmd/rooktrestle/partners_test.go
+++ b/cmd/rooktrestle/partners_test.go
@@ -307,8 +307,8 @@
 		send(c, fmt.Sprintf(head, len(body))+body)
 		server := <-a.CorrectionBegun
 		closeQuietly(c)
-		if left := <-a.ClientLeft; left != server {
-			t.Errorf("the connection to %s was closed, want that to %s", left, server)
+		if disconnected := <-a.ClientDisconnected; disconnected != server {
+			t.Errorf("the connection to %s was closed, want that to %s", disconnected, server)
 		}
 	}
 	if n := p.stop(); n != (queryCounts{received: 4, disconnected: 4}) {
@@ -333,18 +333,18 @@
 	if r.Tag != 47 || r.Child(3).Int() != 3 || ber.DiagnosticCode(r) != 105 {
 		t.Errorf("%+v", r)
 	}
-	<-a.ClientLeft
+	<-a.ClientDisconnected
 	o.send(ber.UpdateAPDU("1:z"))
 	<-a.CorrectionBegun
 	if r := o.ask(ber.Constructed(48, ber.Integer(211, 0))); r.Tag != 48 {
 		t.Errorf("%+v", r)
 	}
-	<-a.ClientLeft
+	<-a.ClientDisconnected
 	o = dialZ3950(t, p.listen["z3950"], "")
 	o.send(ber.UpdateAPDU("2:z"))
 	<-a.CorrectionBegun
 	o.Close()
-	<-a.ClientLeft
+	<-a.ClientDisconnected
 	if n := p.stop(); n != (queryCounts{received: 3, disconnected: 3}) {
 		t.Error(n)
 	}
--- a/internal/backend/sru/client.go
+++ b/internal/backend/sru/client.go
@@ -38,8 +38,8 @@
 func (c *Client) Greeting() []byte { return nil }
 
 // Request returns the encoded request of an attempt: a search or, if the work has an action, an update.
-func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
-	database := c.Database(call.Shard, call.Epoch)
+func (c *Client) Request(attempt aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
+	database := c.Database(attempt.Shard, attempt.Epoch)
 	if work.Action == "" {
 		return http1.Request("GET", sru.SearchTarget(database, work.CQL, 1, work.MaxRecords), c.Host, nil), nil
 	}
--- a/internal/backend/z3950/client.go
+++ b/internal/backend/z3950/client.go
@@ -73,10 +73,10 @@
 
 // Request returns the encoded request of an attempt: a search, which requests records along with the count, or, if the work
 // has an action, an update. An error means that the query cannot be expressed in Z39.50.
-func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
-	database := c.Database(call.Shard, call.Epoch)
+func (c *Client) Request(attempt aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
+	database := c.Database(attempt.Shard, attempt.Epoch)
 	if work.Action != "" {
-		return z3950.Update(call.Name, database, work.Action, work.Record).Encode(nil), nil
+		return z3950.Update(attempt.Name, database, work.Action, work.Record).Encode(nil), nil
 	}
 	tree, err := query.Parse(work.CQL)
 	if err != nil {
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	return z3950.Constructed(z3950.SearchRequest,
-		z3950.String(z3950.FieldReferenceID, call.Name),
+		z3950.String(z3950.FieldReferenceID, attempt.Name),
 		z3950.Integer(z3950.FieldSmallSetUpperBound, work.MaxRecords),
 		z3950.Integer(z3950.FieldLargeSetLowerBound, unreachableSetSize),
 		z3950.Integer(z3950.FieldMediumSetPresentNumber, work.MaxRecords),
--- a/internal/testbed/replica/archive.go
+++ b/internal/testbed/replica/archive.go
@@ -37,10 +37,10 @@
 	// replica serves it.
 	OnCorrection func(replica, id string) string
 	OnSearch     func(database string) string
-	// CorrectionBegun and ClientLeft, if set, receive the replica's name for each correction that begins, and for each
-	// client that disconnects from a replica that does not answer. Replicas block until the name is received.
-	CorrectionBegun chan string
-	ClientLeft      chan string
+	// CorrectionBegun and ClientDisconnected, if set, receive the replica's name for each correction that begins, and for
+	// each client that disconnects from a replica that does not answer. Replicas block until the name is received.
+	CorrectionBegun    chan string
+	ClientDisconnected chan string
 
 	mu          sync.Mutex
 	corrections map[string]int // by record
@@ -143,7 +143,7 @@
 }
 
 func (a *Archive) reportDisconnect(name string) {
-	if a.ClientLeft != nil {
-		a.ClientLeft <- name
+	if a.ClientDisconnected != nil {
+		a.ClientDisconnected <- name
 	}
 }
--- a/internal/testbed/sim/aggregator.go
+++ b/internal/testbed/sim/aggregator.go
@@ -215,7 +215,7 @@
 func (h *aggregatorHost) crash() {
 	h.crashed = true
 	for _, a := range h.sendOrder {
-		if h.attempts[a.call.Attempt] == a {
+		if h.attempts[a.outgoing.Attempt] == a {
 			a.abandoned = true
 			h.world.checker.attemptEnded(a)
 		}
--- a/internal/testbed/sim/check.go
+++ b/internal/testbed/sim/check.go
@@ -61,12 +61,12 @@
 }
 
 // attemptKey identifies the part of an attempt within its aggregator.
-func attemptKey(a *attempt) string { return fmt.Sprintf("%d %s", a.host.index, a.call.Name) }
+func attemptKey(a *attempt) string { return fmt.Sprintf("%d %s", a.host.index, a.outgoing.Name) }
 
 // attemptSent checks that a part has one attempt in flight at a time, no attempt at a replica that the aggregator was
 // notified to be draining or removed, no more than MaxAttempts, and none after its request was answered.
 func (c *checker) attemptSent(sent *attempt) {
-	name := sent.call.Name
+	name := sent.outgoing.Name
 	key := attemptKey(sent)
 	c.attemptsInFlight[key]++
 	if c.attemptsInFlight[key] > 1 {
@@ -77,8 +77,8 @@
 			c.violate("%s goes to %s, %v after its drain or removal was known", name, sent.replica.id, elapsed)
 		}
 	}
-	if sent.call.Attempt.Number >= sent.host.balancerSettings.MaxAttempts {
-		c.violate("attempt %d of %s", sent.call.Attempt.Number+1, name)
+	if sent.outgoing.Attempt.Number >= sent.host.balancerSettings.MaxAttempts {
+		c.violate("attempt %d of %s", sent.outgoing.Attempt.Number+1, name)
 	}
 	requestID, _, _ := strings.Cut(name, ".")
 	if c.openRequests[requestID] == nil {
@@ -96,14 +96,14 @@
 
 // correctionRan counts the runs of a correction, and checks that it does not run twice, retries of its client included.
 func (c *checker) correctionRan(r *replica, a *attempt) {
-	if a.call.Class != correction {
+	if a.outgoing.Class != correction {
 		return
 	}
-	queryID, _, _ := strings.Cut(a.call.Name, "-")
+	queryID, _, _ := strings.Cut(a.outgoing.Name, "-")
 	c.correctionRuns[queryID]++
 	runs := c.correctionRuns[queryID]
 	if runs > 1 {
-		c.violate("correction %s ran %d times, now at %s", a.call.Name, runs, r.id)
+		c.violate("correction %s ran %d times, now at %s", a.outgoing.Name, runs, r.id)
 	}
 	if c.world.InjectedBug == BugDoubleCorrection && runs == 1 && strings.HasPrefix(queryID, "q7") {
 		c.world.after(time.Millisecond, func() { c.correctionRan(r, a) })
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -29,13 +29,13 @@
 )
 
 // Send sends attempts to a replica.
-func (h *aggregatorHost) Send(_ time.Time, server aggregator.Server, calls []aggregator.OutgoingAttempt) {
+func (h *aggregatorHost) Send(_ time.Time, server aggregator.Server, attempts []aggregator.OutgoingAttempt) {
 	target := h.world.replicaByID[server.ID]
-	for _, call := range calls {
-		a := &attempt{host: h, call: call, replica: target}
-		h.attempts[call.Attempt] = a
+	for _, outgoing := range attempts {
+		a := &attempt{host: h, outgoing: outgoing, replica: target}
+		h.attempts[outgoing.Attempt] = a
 		h.sendOrder = append(h.sendOrder, a)
-		h.world.record("send", uint64(call.Attempt.Part), uint64(target.index))
+		h.world.record("send", uint64(outgoing.Attempt.Part), uint64(target.index))
 		h.world.checker.attemptSent(a)
 		if h.world.separated(h.zone, target.zone()) {
 			continue // lost on the network
@@ -52,7 +52,7 @@
 
 // hasEnded reports whether an attempt has ended for both the aggregator and the replica.
 func (h *aggregatorHost) hasEnded(a *attempt) bool {
-	return h.attempts[a.call.Attempt] != a && !a.replica.inFlight[a]
+	return h.attempts[a.outgoing.Attempt] != a && !a.replica.inFlight[a]
 }
 
 // Cancel cancels an attempt at the current moment: the replica has been notified when the attempt ends.
@@ -110,14 +110,14 @@
 
 // deliverResult passes the result of an attempt to the aggregator, unless the attempt was canceled before.
 func (h *aggregatorHost) deliverResult(a *attempt, err error, value string) {
-	if h.attempts[a.call.Attempt] != a || a.abandoned || h.world.separated(h.zone, a.replica.zone()) {
+	if h.attempts[a.outgoing.Attempt] != a || a.abandoned || h.world.separated(h.zone, a.replica.zone()) {
 		return
 	}
-	h.finishAttempt(a, aggregator.AttemptEnded{Attempt: a.call.Attempt, Err: err, Value: value})
+	h.finishAttempt(a, aggregator.AttemptEnded{Attempt: a.outgoing.Attempt, Err: err, Value: value})
 }
 
 func (h *aggregatorHost) finishAttempt(a *attempt, ended aggregator.AttemptEnded) {
-	delete(h.attempts, a.call.Attempt)
+	delete(h.attempts, a.outgoing.Attempt)
 	h.world.checker.attemptEnded(a)
 	h.post(ended)
 }
--- a/internal/testbed/sim/replica.go
+++ b/internal/testbed/sim/replica.go
@@ -150,7 +150,7 @@
 // attempt is one attempt of a part at a replica.
 type attempt struct {
 	host      *aggregatorHost
-	call      aggregator.OutgoingAttempt
+	outgoing  aggregator.OutgoingAttempt
 	replica   *replica
 	abandoned bool // the aggregator has canceled it, or has crashed
 }
@@ -213,7 +213,7 @@
 		a := r.queue[0]
 		r.queue = r.queue[1:]
 		r.busyCores++
-		r.world.after(r.sampleServiceTime(a.call.Class), func() {
+		r.world.after(r.sampleServiceTime(a.outgoing.Class), func() {
 			r.busyCores--
 			r.complete(a)
 			r.dispatch()
@@ -242,7 +242,7 @@
 		return
 	}
 	r.world.after(r.world.networkDelay(), func() {
-		a.host.deliverResult(a, nil, fmt.Sprintf("%s by %s", a.call.Name, r.id))
+		a.host.deliverResult(a, nil, fmt.Sprintf("%s by %s", a.outgoing.Name, r.id))
 	})
 }
 
