--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestPullBack_NotOfUnhealthyServers(t *testing.T) {
+func TestPullBack_SkipsUnhealthyServers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.serve(60, 100*ms)
 	server := h.b.servers["a"]
--- a/cmd/rooktrestle/partners_test.go
+++ b/cmd/rooktrestle/partners_test.go
@@ -293,7 +293,7 @@
 
 // A client disconnects during a correction: the connection to the server is closed, the correction is not retried, and
 // the query is completed exactly once.
-func TestSRUCorrectionCancelledHalfWay(t *testing.T) {
+func TestSRUCorrectionCanceledHalfWay(t *testing.T) {
 	a := newArchive(t)
 	a.OnCorrection = func(string, string) string { return "hang" }
 	p := startPartners(t, a, partnersOptions{})
@@ -322,7 +322,7 @@
 }
 
 // The same over Z39.50, by a cancel, a Close, and a disconnect.
-func TestZ3950CorrectionCancelledHalfWay(t *testing.T) {
+func TestZ3950CorrectionCanceledHalfWay(t *testing.T) {
 	a := newArchive(t)
 	a.OnCorrection = func(string, string) string { return "hang" }
 	p := startPartners(t, a, partnersOptions{})
--- a/internal/frontend/grpchealth/checker_test.go
+++ b/internal/frontend/grpchealth/checker_test.go
@@ -28,7 +28,7 @@
 	return response.StatusCode, string(text)
 }
 
-func TestAsker_ChecksServers(t *testing.T) {
+func TestChecker_ChecksServers(t *testing.T) {
 	library := libhealth.NewServer()
 	library.SetServingStatus("captions", serving)
 	library.SetServingStatus("coverage", notServing)
--- a/internal/frontend/sru/server_test.go
+++ b/internal/frontend/sru/server_test.go
@@ -268,7 +268,7 @@
 	c.expect(200, "<explainResponse", "<title>News &amp; more</title>", `<name set="dc">title</name>`)
 }
 
-func TestServer_ClientDisconnects_SearchIsCancelled(t *testing.T) {
+func TestServer_ClientDisconnects_SearchIsCanceled(t *testing.T) {
 	c := newClient(t)
 	c.search("/captions", "x")
 	request := c.request()
--- a/internal/frontend/z3950/association_test.go
+++ b/internal/frontend/z3950/association_test.go
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestServer_Room_EvictsIdleAssociationsOnly(t *testing.T) {
+func TestServer_EvictIdle_IdleAssociationsOnly(t *testing.T) {
 	busy := newAssociation(t)
 	busy.send(searchPDU(t, "set", false))
 	if busy.server.EvictIdle() || busy.evicted {
--- a/internal/net/tcp/races_test.go
+++ b/internal/net/tcp/races_test.go
@@ -16,7 +16,7 @@
 
 // A deferred write that expires behind another write is not sent and is reported as expired; one that has not expired
 // is sent. Guards against sending a request seconds after its server was chosen: the server may be draining by then.
-func TestConn_WriteLate_Expires(t *testing.T) {
+func TestConn_WriteDeferred_Expires(t *testing.T) {
 	c, peer, _ := connect(t, nil)
 	held, release, results := make(chan struct{}), make(chan struct{}), make(chan WriteResult, 3)
 	c.Write([]byte("first "), func(WriteResult) { // blocks the writes that are queued after it
