--- a/internal/backend/sru/client.go
+++ b/internal/backend/sru/client.go
@@ -20,11 +20,11 @@
 
 // SRU diagnostics that do not concern the query itself: they describe the server, or qualify its result.
 const (
-	diagSystemError      = sru.Diag + "1"
-	diagUnavailable      = sru.Diag + "2"
-	diagAuthentication   = sru.Diag + "3"
-	diagPartialResult    = sru.Diag + "59" // the result is valid, but not complete
-	diagDatabaseNotFound = sru.Diag + "235"
+	diagSystemError      = sru.DiagnosticPrefix + "1"
+	diagUnavailable      = sru.DiagnosticPrefix + "2"
+	diagAuthentication   = sru.DiagnosticPrefix + "3"
+	diagPartialResult    = sru.DiagnosticPrefix + "59" // the result is valid, but not complete
+	diagDatabaseNotFound = sru.DiagnosticPrefix + "235"
 )
 
 // Client is the serialconn.Codec of one SRU server.
@@ -38,8 +38,8 @@
 func (c *Client) Greeting() []byte { return nil }
 
 // Request returns the encoded request of an attempt: a search or, if the work has an action, an update.
-func (c *Client) Request(call aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
-	database := c.Database(call.Shard, call.Epoch)
+func (c *Client) Request(attempt aggregator.OutgoingAttempt, work query.Work) ([]byte, error) {
+	database := c.Database(attempt.Shard, attempt.Epoch)
 	if work.Action == "" {
 		return http1.Request("GET", sru.SearchTarget(database, work.CQL, 1, work.MaxRecords), c.Host, nil), nil
 	}
