--- a/cmd/rooktrestle/operators_test.go
+++ b/cmd/rooktrestle/operators_test.go
@@ -298,11 +298,11 @@
 			return answerValue(name, c)
 		}
 		attempts.Add(1)
-		received <- struct{}{}
 		answered.Go(func() {
 			<-stopped
 			writeFrame(c, '5', name+" E 0 -\n")
 		})
+		received <- struct{}{} // after answered.Go, so that answered.Wait covers this part
 		return ""
 	}
 	p := startPlatform(t, newLeaf(t, fails), newLeaf(t, fails))
