--- a/internal/app/background/background_test.go
+++ b/internal/app/background/background_test.go
@@ -161,6 +161,7 @@
 	other, otherRuns := countingJob()
 	runner.Add(hourly, 0, other)
 	<-otherRuns
+	awaitIdle(runner) // the next run is due one interval after the end of this one is recorded
 	clock.advance(2 * interval)
 	<-otherRuns // the removed task would have run before this one
 	stop()
